--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // A sidecar feeds its balancer events and carries out the actions that come back.
--- a/cmd/petrelhook/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command petrelhook is the sidecar: it takes the application's requests and has them served.
+// Command sidecar is the sidecar: it takes the application's requests and has them served.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"barleytack/internal/sidecar"
+	"pebblelift/internal/sidecar"
 )
 
 // memoryPart of the limit is what the Go runtime keeps to: stacks of C and kernel buffers come on top.
@@ -20,7 +20,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "petrelhook:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/petrelhook/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -19,7 +19,7 @@
 
 const patience = 20 * time.Second // for what must come
 
-// TestMain lets the test's own program stand in for petrelhook, in a process that signals can be sent to.
+// TestMain lets the test's own program stand in for the sidecar, in a process that signals can be sent to.
 func TestMain(m *testing.M) {
 	if os.Getenv("BE_PETRELHOOK") != "" {
 		main()
@@ -49,7 +49,7 @@
 	return ln.Addr().String(), conns
 }
 
-// start runs petrelhook and hands over what it logs.
+// start runs the sidecar and hands over what it logs.
 func start(t *testing.T, config string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	return startAs(t, exec.Command(os.Args[0]), config)
--- a/cmd/adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts instances of the decision module for the simulator: frames
+// Command simulator-adapter hosts instances of the decision module for the simulator: frames
 // come in on standard input, one reply to each goes out on standard output.
 package main
 
@@ -9,13 +9,14 @@
 	"os"
 	"runtime/debug"
 
-	"barleytack/balance"
-	"barleytack/internal/wire"
+	"pebblelift/balance"
+	"pebblelift/internal/settings"
+	"pebblelift/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,7 +24,7 @@
 // run answers frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	host := host{instances: map[uint16]*balance.Balancer{}}
-	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	reader := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	for {
 		host.reply.Reset()
 		err := reader.Read(host.handle)
@@ -42,18 +43,18 @@
 // host keeps the instances of this process; they share nothing.
 type host struct {
 	instances map[uint16]*balance.Balancer
-	reply     wire.Reply
+	reply     simwire.Reply
 }
 
-func (h *host) handle(clock float64, rec wire.Record) (err error) {
+func (h *host) handle(clock float64, rec simwire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
 	switch ev := rec.Event.(type) {
-	case wire.Begin:
-		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
+	case simwire.Begin:
+		cfg, err := settings.ParseSettings(ev.Seed, ev.Settings)
 		if err != nil {
 			h.instances[rec.Instance] = nil // its further events are ignored
 			h.reply.Fault(rec.Instance, err.Error())
@@ -62,7 +63,7 @@
 		b := balance.New(cfg)
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
-	case wire.Down:
+	case simwire.Down:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
 		b, begun := h.instances[rec.Instance]
--- a/cmd/adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -32,7 +32,7 @@
 	return b.Bytes()
 }
 
-const settings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
+const testSettings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
 func begin(instance uint16, seed uint64, profile string) []byte {
@@ -91,7 +91,7 @@
 		s := &script{}
 		var first [][]byte
 		for _, i := range instances {
-			first = append(first, begin(i, uint64(i)*7, settings), sheet(5), cached(i))
+			first = append(first, begin(i, uint64(i)*7, testSettings), sheet(5), cached(i))
 		}
 		s.frame(1000, first...)
 		for id := range uint64(60) {
@@ -135,8 +135,8 @@
 
 func TestRestartWithinABatch(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, settings), sheet(3), cached(1), ask(1, 5),
-		record(uint16(1060), uint16(1)), begin(1, 8, settings), cached(1), ask(1, 6))
+	s.frame(1000, begin(1, 7, testSettings), sheet(3), cached(1), ask(1, 5),
+		record(uint16(1060), uint16(1)), begin(1, 8, testSettings), cached(1), ask(1, 6))
 	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
 	if n := sends(t, mustRun(t, s)); n[1] != 2 {
 		t.Fatalf("%d sends, want one in each life", n[1])
@@ -168,7 +168,7 @@
 // Frames that cannot be read end the adapter with an error and without a reply; an end of input is a clean end.
 func TestUnreadableFramesEndTheAdapter(t *testing.T) {
 	whole := &script{}
-	whole.frame(1000, begin(1, 7, settings), sheet(3), cached(1))
+	whole.frame(1000, begin(1, 7, testSettings), sheet(3), cached(1))
 	cut := append([]byte(nil), whole.Bytes()[:whole.Len()-5]...)
 	long := append([]byte(nil), whole.Bytes()...)
 	binary.BigEndian.PutUint32(long[4:], 1<<31)
@@ -193,7 +193,7 @@
 // Settings that cannot be read fault one instance; the others of the process go on.
 func TestUnusableSettingsLeaveOtherInstancesAlone(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": 5}`), begin(2, 7, settings), sheet(2), cached(1), cached(2), ask(1, 5), ask(2, 6))
+	s.frame(1000, begin(1, 7, `{"classes": 5}`), begin(2, 7, testSettings), sheet(2), cached(1), cached(2), ask(1, 5), ask(2, 6))
 	out := mustRun(t, s)
 	if binary.BigEndian.Uint16(out[4:]) != 1090 || binary.BigEndian.Uint16(out[6:]) != 1 {
 		t.Fatalf("no fault of instance 1: %x", out)
--- a/internal/wire/settings.go
+++ b/internal/settings/settings.go
@@ -1,15 +1,16 @@
-package wire
+// Package settings reads the settings object that both programs are configured with.
+package settings
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
-// settings mirrors the profile; keys that are not here are skipped.
-type settings struct {
+// document mirrors the settings object; keys that are not here are skipped.
+type document struct {
 	Classes []struct {
 		Name       string   `json:"name"`
 		Effect     string   `json:"effect"`
@@ -132,14 +133,14 @@
 	return s.config(seed)
 }
 
-func parse(profile []byte) (s settings, err error) {
+func parse(profile []byte) (s document, err error) {
 	if err := json.Unmarshal(profile, &s); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
 	return s, nil
 }
 
-func (s *settings) config(seed uint64) (balance.Config, error) {
+func (s *document) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
 		Seed: seed, Number: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
 		OverShareWorth: or(s.OverShare, 1), Quantum: s.Quantum,
@@ -173,7 +174,7 @@
 	return cfg, s.addClasses(&cfg)
 }
 
-func (s *settings) addClasses(cfg *balance.Config) error {
+func (s *document) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: no classes")
 	}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"barleytack/internal/wire"
+	"pebblelift/internal/settings"
 )
 
 // Config is what the deployment tells a sidecar.
@@ -21,7 +21,7 @@
 	Listen, Discovery string
 	Limits            Limits
 	Known             Catalog // the list of servers as last had
-	Profile           wire.Profile
+	Profile           settings.Profile
 	PeerListen        netip.AddrPort   // where datagrams of other sidecars arrive; not valid: nowhere
 	Peers             []netip.AddrPort // their addresses, by number
 	PeersAll          netip.AddrPort   // reaches all of them
@@ -62,7 +62,7 @@
 	if err != nil {
 		return c, fmt.Errorf("config: seed: %w", err)
 	}
-	if c.Profile, err = wire.ParseProfile(seed, file.Settings); err != nil {
+	if c.Profile, err = settings.ParseProfile(seed, file.Settings); err != nil {
 		return c, fmt.Errorf("config: %w", err)
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // However a watch goes wrong, it ends with an error, and what came before was told.
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // readyAfter is when a sidecar is ready without any server in its list: clients are told at once that there is none, and
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // startedAtMs is Unix time, so the module's clock must be; and it must not jump with the wall clock.
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 const (
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // peerConfig is that of sidecar n among many whose addresses are given; the first is reached by what is told to all.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 const (
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // What a server must see unchanged, and what the client gets back.
--- a/internal/sidecar/status.go
+++ b/internal/sidecar/status.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // statusEvery is how often a busy sidecar logs what it did.
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 const (
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 func testUpstream(t *testing.T, most int) *upstream {
--- a/internal/wire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package wire translates the simulator's binary frames and settings to the types
+// Package simwire translates the simulator's binary frames to the types
 // of package balance and back. It takes no decisions.
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"io"
 	"math"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // Event codes.
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,11 +1,11 @@
-package wire
+package simwire
 
 import (
 	"encoding/binary"
 	"io"
 	"math"
 
-	"barleytack/balance"
+	"pebblelift/balance"
 )
 
 // Action codes.
