--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -9,42 +9,42 @@
 )
 
 // coldDay is a fleet of balancers in virtual time that share servers, one or more of which start anew half-way.
-type coldDay struct {
-	name              string
-	balancers, each   int     // and servers for each
-	load              float64 // part of what all servers can do when warm
-	skewed            bool    // one in five has ten times the traffic of the others
-	class             int
-	restart           float64 // part of the servers that restart at coldAt, one at the least
-	die               bool    // ... and the others make no connections any more
-	fails             float64 // part of the attempts at the others that fail, and are tried again
-	anew              bool    // all balancers are started then, too
-	late              float64 // ms by which some are told later
-	servers, restarts int
+type slowStartScenario struct {
+	name                          string
+	sidecars, endpointsPerSidecar int     // and servers for each
+	load                          float64 // part of what all servers can do when warm
+	skewed                        bool    // one in five has ten times the traffic of the others
+	class                         int
+	restartFraction               float64 // part of the servers that restart at coldAt, one at the least
+	restDies                      bool    // ... and the others make no connections any more
+	failureFraction               float64 // part of the attempts at the others that fail, and are tried again
+	restartSidecars               bool    // all balancers are started then, too
+	notificationDelay             float64 // ms by which some are told later
+	endpoints, restarts           int
 }
 
 const (
-	coldAt    = 8000.0 // ms
-	coldFor   = 8000.0 // ms that are looked at
-	answerMs  = 100.0
-	serverRPS = 25.0 // of a warm server
+	restartAt    = 8000.0 // ms
+	observedTime = 8000.0 // ms that are looked at
+	responseTime = 100.0
+	endpointRate = 25.0 // of a warm server
 )
 
-type coldEvent struct {
+type slowStartEvent struct {
 	at  float64
 	seq int
 	run func()
 }
 
-type coldQueue []coldEvent
+type slowStartQueue []slowStartEvent
 
-func (q coldQueue) Len() int { return len(q) }
-func (q coldQueue) Less(i, j int) bool {
+func (q slowStartQueue) Len() int { return len(q) }
+func (q slowStartQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q coldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *coldQueue) Push(v any)   { *q = append(*q, v.(coldEvent)) }
-func (q *coldQueue) Pop() any {
+func (q slowStartQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *slowStartQueue) Push(v any)   { *q = append(*q, v.(slowStartEvent)) }
+func (q *slowStartQueue) Pop() any {
 	old := *q
 	v := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -52,71 +52,71 @@
 }
 
 // coldWorld plays a coldDay.
-type coldWorld struct {
-	coldDay
-	t     *testing.T
-	rnd   *rand.Rand
-	now   float64
-	seq   int
-	queue coldQueue
-	next  RequestID
-	list  []Server
-	sent  map[ServerID][]float64 // times of attempts at those that restarted
-	busy  map[ServerID]float64   // until when each server has work
+type slowStartWorld struct {
+	slowStartScenario
+	t            *testing.T
+	rnd          *rand.Rand
+	now          float64
+	seq          int
+	queue        slowStartQueue
+	lastID       RequestID
+	listed       []Endpoint
+	attemptTimes map[EndpointID][]float64 // times of attempts at those that restarted
+	busyUntil    map[EndpointID]float64   // until when each server has work
 }
 
-func (w *coldWorld) after(ms float64, run func()) {
+func (w *slowStartWorld) after(ms float64, run func()) {
 	w.seq++
-	heap.Push(&w.queue, coldEvent{w.now + ms, w.seq, run})
+	heap.Push(&w.queue, slowStartEvent{w.now + ms, w.seq, run})
 }
 
 // play returns the fullest window of FallTime, as a part of what is put down to chance beyond the budget, and which part
 // of the plain budget was used in all.
-func (d coldDay) play(t *testing.T, seed uint64) (fullest, used float64) {
-	w := &coldWorld{coldDay: d, t: t, rnd: rand.New(rand.NewPCG(seed, 7)), sent: map[ServerID][]float64{}, busy: map[ServerID]float64{}}
-	w.servers = max(3, d.balancers*d.each/10)
-	w.restarts = max(1, int(d.restart*float64(w.servers)))
-	w.list = fleet(w.servers)
+func (d slowStartScenario) play(t *testing.T, seed uint64) (fullest, used float64) {
+	w := &slowStartWorld{slowStartScenario: d, t: t, rnd: rand.New(rand.NewPCG(seed, 7)), attemptTimes: map[EndpointID][]float64{}, busyUntil: map[EndpointID]float64{}}
+	w.endpoints = max(3, d.sidecars*d.endpointsPerSidecar/10)
+	w.restarts = max(1, int(d.restartFraction*float64(w.endpoints)))
+	w.listed = newEndpoints(w.endpoints)
 	cfg := baseConfig()
-	for n := range d.balancers {
+	for n := range d.sidecars {
 		w.balancer(n, cfg)
 	}
-	w.after(coldAt, func() {
+	w.after(restartAt, func() {
 		for i := range w.restarts {
-			w.list[i].StartedAt = w.now
-			w.sent[w.list[i].ID] = nil
+			w.listed[i].StartedAt = w.now
+			w.attemptTimes[w.listed[i].ID] = nil
 		}
 	})
-	for w.queue.Len() > 0 && w.now < coldAt+coldFor {
-		ev := heap.Pop(&w.queue).(coldEvent)
+	for w.queue.Len() > 0 && w.now < restartAt+observedTime {
+		ev := heap.Pop(&w.queue).(slowStartEvent)
 		w.now = ev.at
 		ev.run()
 	}
 	budget := func(age, window float64) float64 { // requests that a server may be sent in a window that ends then
-		return cfg.FallMultiple * warmthAt(age) * serverRPS * window / 1000
+		return cfg.OverloadFactor * slowStartFractionAt(age) * endpointRate * window / 1000
 	}
-	for _, times := range w.sent {
+	for _, times := range w.attemptTimes {
 		for i := range times {
 			from := 0
-			for ; times[from] <= times[i]-cfg.FallTime; from++ {
+			for ; times[from] <= times[i]-cfg.OverloadWindow; from++ {
 			}
-			n := budget(math.Max(0, times[i]-coldAt-cfg.FallTime), cfg.FallTime)
+			n := budget(math.Max(0, times[i]-restartAt-cfg.OverloadWindow), cfg.OverloadWindow)
 			fullest = math.Max(fullest, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 		}
-		used += float64(len(times)) / budget(coldFor/2, coldFor) / float64(len(w.sent))
+		used += float64(len(times)) / budget(observedTime/2, observedTime) / float64(len(w.attemptTimes))
 	}
 	return fullest, used
 }
 
 // warmthAt is the least part of its speed that a server has so long after its start.
-func warmthAt(age float64) float64 {
+func slowStartFractionAt(age float64) float64 {
 	cfg := baseConfig()
-	return cfg.ColdFrom + (1-cfg.ColdFrom)*math.Min(1, age/cfg.ColdTime)
+	return cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*math.Min(1, age/cfg.SlowStartDuration)
 }
 
 // balancer adds one with its clients.
-func (w *coldWorld) balancer(n int, cfg Config) {
-	cfg.Seed, cfg.Number, cfg.Peers = uint64(n)+100*w.rnd.Uint64N(1000), n, w.balancers
+func (w *slowStartWorld) balancer(n int, cfg Config) {
+	cfg.Seed, cfg.PeerIndex, cfg.PeerCount = uint64(n)+100*w.rnd.Uint64N(1000), n, w.sidecars
 	var b *Balancer
 	told := false
 	var apply func(b *Balancer, acts []Action)
@@ -132,15 +132,15 @@
 		for _, a := range acts {
 			switch a.Kind {
 			case SetTimer:
-				w.after(a.At, func() { tell(to, Timer{Token: a.Token}) })
-			case Send:
-				r := to.reqs[a.Request]
-				number := len(r.tries) - 1 + attempts[a.Request]
+				w.after(a.Delay, func() { tell(to, Timer{Token: a.Token}) })
+			case StartAttempt:
+				r := to.requests[a.Request]
+				number := len(r.attempts) - 1 + attempts[a.Request]
 				attempts[a.Request]++
-				res, took := w.attempt(a.Server, told)
+				res, took := w.attempt(a.Endpoint, told)
 				w.after(took, func() {
-					if live := to.reqs[a.Request]; live != nil && number < len(live.tries) && live.tries[number].live {
-						tell(to, Outcome{Request: a.Request, Attempt: number, Server: a.Server, Result: res, Took: took, Finished: res == OK})
+					if live := to.requests[a.Request]; live != nil && number < len(live.attempts) && live.attempts[number].inFlight {
+						tell(to, AttemptResult{Request: a.Request, Attempt: number, Endpoint: a.Endpoint, Result: res, Latency: took, RequestClosed: res == OK})
 					}
 				})
 			}
@@ -149,75 +149,75 @@
 	start := func() {
 		b = New(cfg)
 		apply(b, append([]Action(nil), b.Start(w.now)...))
-		tell(b, ServerList{Kind: ListFull, Servers: w.list})
+		tell(b, EndpointUpdate{Kind: Snapshot, Endpoints: w.listed})
 	}
 	start()
-	w.after(coldAt+0.001+w.late*w.rnd.Float64(), func() {
-		if told = true; w.anew {
+	w.after(restartAt+0.001+w.notificationDelay*w.rnd.Float64(), func() {
+		if told = true; w.restartSidecars {
 			cfg.Seed++
 			start()
 		} else {
-			tell(b, ServerList{Kind: ListDelta, Servers: w.list[:w.restarts]})
+			tell(b, EndpointUpdate{Kind: Delta, Endpoints: w.listed[:w.restarts]})
 		}
 	})
-	parts, part := float64(w.balancers), 1.0
+	parts, part := float64(w.sidecars), 1.0
 	if w.skewed {
-		parts = 2.8 * float64(w.balancers)
+		parts = 2.8 * float64(w.sidecars)
 		if n%5 == 0 {
 			part = 10
 		}
 	}
 	pause := func() float64 {
-		return w.rnd.ExpFloat64() * 1000 * parts / part / (w.load * serverRPS * float64(w.servers))
+		return w.rnd.ExpFloat64() * 1000 * parts / part / (w.load * endpointRate * float64(w.endpoints))
 	}
 	var ask func()
 	ask = func() {
-		w.next++
-		tell(b, Request{ID: w.next, Class: w.class, Remaining: cfg.Classes[w.class].Deadline})
+		w.lastID++
+		tell(b, Request{ID: w.lastID, Class: w.class, Timeout: cfg.Classes[w.class].Deadline})
 		w.after(pause(), ask)
 	}
 	w.after(pause(), ask)
 }
 
 // attempt is what comes of one, and when.
-func (w *coldWorld) attempt(id ServerID, told bool) (Result, float64) {
-	if times, cold := w.sent[id]; cold && told {
-		w.sent[id] = append(times, w.now)
+func (w *slowStartWorld) attempt(id EndpointID, told bool) (Result, float64) {
+	if times, cold := w.attemptTimes[id]; cold && told {
+		w.attemptTimes[id] = append(times, w.now)
 	} else if cold { // whoever has yet to be told breaks no rule
-	} else if w.now > coldAt && w.die {
+	} else if w.now > restartAt && w.restDies {
 		return ConnectFailed, 1
-	} else if w.rnd.Float64() < w.fails {
-		return Failed, 5
+	} else if w.rnd.Float64() < w.failureFraction {
+		return ServerError, 5
 	}
 	speed := 1.0
-	if _, cold := w.sent[id]; cold {
-		speed = warmthAt(w.now - coldAt)
+	if _, cold := w.attemptTimes[id]; cold {
+		speed = slowStartFractionAt(w.now - restartAt)
 	}
-	w.busy[id] = math.Max(w.busy[id], w.now) + 1000/serverRPS/speed
-	return OK, math.Max(answerMs, w.busy[id]-w.now)
+	w.busyUntil[id] = math.Max(w.busyUntil[id], w.now) + 1000/endpointRate/speed
+	return OK, math.Max(responseTime, w.busyUntil[id]-w.now)
 }
 
 // What all sidecars together send to a server that has just started stays under what it bears, with little left to chance,
 // whatever the others do; still it is in use as it warms.
-func TestColdServersUnderTheSumOfAFleet(t *testing.T) {
+func TestSlowStartBudgetHoldsAcrossFleet(t *testing.T) {
 	for _, balancers := range []int{2, 8, 20, 30, 300} {
-		for _, d := range []coldDay{
+		for _, d := range []slowStartScenario{
 			{name: "even", load: 0.7},
 			{name: "skewed", load: 0.7, skewed: true},
 			{name: "overload", load: 1.3},
-			{name: "retries", load: 0.7, fails: 0.5},
-			{name: "keyed to a cell", load: 0.7, class: cellClass, fails: 0.3},
-			{name: "not repeatable", load: 0.7, class: unsafeClass, fails: 0.3},
-			{name: "all started anew", load: 0.7, anew: true},
-			{name: "most restart", load: 0.7, restart: 0.8},
-			{name: "all restart", load: 0.7, restart: 1},
-			{name: "the others die", load: 0.7, restart: 0.1, die: true},
-			{name: "the others die and all start anew", load: 0.7, restart: 0.1, die: true, anew: true},
-			{name: "told late", load: 0.7, late: 900},
+			{name: "retries", load: 0.7, failureFraction: 0.5},
+			{name: "keyed to a cell", load: 0.7, class: cellKeyClass, failureFraction: 0.3},
+			{name: "not repeatable", load: 0.7, class: nonIdempotentClass, failureFraction: 0.3},
+			{name: "all started anew", load: 0.7, restartSidecars: true},
+			{name: "most restart", load: 0.7, restartFraction: 0.8},
+			{name: "all restart", load: 0.7, restartFraction: 1},
+			{name: "the others die", load: 0.7, restartFraction: 0.1, restDies: true},
+			{name: "the others die and all start anew", load: 0.7, restartFraction: 0.1, restDies: true, restartSidecars: true},
+			{name: "told late", load: 0.7, notificationDelay: 900},
 		} {
-			d.balancers, d.each = balancers, 4
+			d.sidecars, d.endpointsPerSidecar = balancers, 4
 			if balancers == 300 {
-				d.each = 2
+				d.endpointsPerSidecar = 2
 			}
 			var fullest, used float64
 			for seed := range uint64(2) {
--- a/balance/config.go
+++ b/balance/config.go
@@ -10,49 +10,49 @@
 	c.Classes = append([]Class(nil), c.Classes...)
 	for i := range c.Classes {
 		k := &c.Classes[i]
-		clean(&k.Aim, &k.AimStretch, &k.Deadline, &k.Worth, &k.LateWorth)
+		sanitize(&k.LatencyObjective, &k.ObjectivePerWork, &k.Deadline, &k.PriorityWeight, &k.LateWeight)
 		switch {
-		case k.Deadline == 0 && k.Aim == 0:
-			k.Deadline, k.Aim = 1000, 1000
+		case k.Deadline == 0 && k.LatencyObjective == 0:
+			k.Deadline, k.LatencyObjective = 1000, 1000
 		case k.Deadline == 0:
-			k.Deadline = k.Aim
-		case k.Aim == 0:
-			k.Aim = k.Deadline
+			k.Deadline = k.LatencyObjective
+		case k.LatencyObjective == 0:
+			k.LatencyObjective = k.Deadline
 		}
-		if !(k.Window >= 0) {
-			k.Window = math.Inf(1)
+		if !(k.DedupWindow >= 0) {
+			k.DedupWindow = math.Inf(1)
 		}
 	}
 	c.Tenants = append([]Tenant(nil), c.Tenants...)
 	for i := range c.Tenants {
-		clean(&c.Tenants[i].Allowance, &c.Tenants[i].Share)
+		sanitize(&c.Tenants[i].QuotaRate, &c.Tenants[i].QuotaShare)
 	}
-	clean(&c.OverShareWorth, &c.Quantum, &c.MaxRetryAfter, &c.ConnectTimeout, &c.DrainGrace, &c.ColdTime,
-		&c.FallMultiple, &c.FallTime, &c.AskWithin, &c.AnswerSlack)
-	clean(&c.Goal.Whole, &c.Goal.WorstWindow, &c.Goal.WorstClass, &c.Goal.WorstTenant)
-	clean(&c.Prices.CrossZone, &c.Prices.Waste, &c.Prices.Handshake, &c.Prices.Probe, &c.Prices.Peer,
-		&c.Prices.LateFail)
-	if !(c.ColdFrom >= 0 && c.ColdFrom <= 1) {
-		c.ColdFrom = 1
+	sanitize(&c.OverQuotaWeight, &c.BatchInterval, &c.MaxRetryAfter, &c.ConnectTimeout, &c.DrainGrace, &c.SlowStartDuration,
+		&c.OverloadFactor, &c.OverloadWindow, &c.PollInterval, &c.ResponseSlack)
+	sanitize(&c.Goal.Overall, &c.Goal.WorstWindow, &c.Goal.WorstClass, &c.Goal.WorstTenant)
+	sanitize(&c.Penalties.CrossZone, &c.Penalties.Waste, &c.Penalties.Handshake, &c.Penalties.HealthCheck, &c.Penalties.Gossip,
+		&c.Penalties.LateFailure)
+	if !(c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1) {
+		c.SlowStartFraction = 1
 	}
 	if c.Goal == (Goal{}) {
-		c.Goal.Whole = 1
+		c.Goal.Overall = 1
 	}
-	c.Peers, c.MaxAttempts, c.Number = max(c.Peers, 1), max(c.MaxAttempts, 1), max(c.Number, 0)
+	c.PeerCount, c.MaxAttempts, c.PeerIndex = max(c.PeerCount, 1), max(c.MaxAttempts, 1), max(c.PeerIndex, 0)
 	return c
 }
 
 // clean sets to zero what is no finite number of at least zero.
-func clean(values ...*float64) {
+func sanitize(values ...*float64) {
 	for _, v := range values {
-		if *v = finite(*v, math.Inf(1)); math.IsInf(*v, 1) {
+		if *v = clampNonNegative(*v, math.Inf(1)); math.IsInf(*v, 1) {
 			*v = 0
 		}
 	}
 }
 
 // finite returns v, at most the given bound, and 0 for what is negative or no number.
-func finite(v, most float64) float64 {
+func clampNonNegative(v, most float64) float64 {
 	if !(v > 0) {
 		return 0
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -10,7 +10,7 @@
 func Example() {
 	b := balance.New(balance.Config{
 		Seed: 1, MaxAttempts: 2,
-		Classes: []balance.Class{{Effect: balance.Safe, Aim: 100, Deadline: 400, Worth: 1}},
+		Classes: []balance.Class{{Idempotency: balance.Idempotent, LatencyObjective: 100, Deadline: 400, PriorityWeight: 1}},
 	})
 	b.Start(0)
 	show := func(now float64, ev balance.Event) {
@@ -20,19 +20,19 @@
 		}
 		for _, a := range actions {
 			switch a.Kind {
-			case balance.Send:
-				fmt.Printf("%v ms: send request %d to server %d\n", now, a.Request, a.Server)
+			case balance.StartAttempt:
+				fmt.Printf("%v ms: send request %d to server %d\n", now, a.Request, a.Endpoint)
 			case balance.SetTimer:
-				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.At)
-			case balance.Refuse:
+				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.Delay)
+			case balance.Reject:
 				fmt.Printf("%v ms: refuse request %d\n", now, a.Request)
 			}
 		}
 	}
-	show(0, balance.ServerList{Kind: balance.ListFull, Servers: []balance.Server{{ID: 10, Rating: 1}, {ID: 20, Rating: 1}}})
-	show(5, balance.Request{ID: 1, Remaining: 400})
-	show(6, balance.Outcome{Request: 1, Server: 20, Result: balance.Full, Took: 1})
-	show(9, balance.Outcome{Request: 1, Attempt: 1, Server: 10, Result: balance.OK, Took: 3, Finished: true})
+	show(0, balance.EndpointUpdate{Kind: balance.Snapshot, Endpoints: []balance.Endpoint{{ID: 10, NominalCapacity: 1}, {ID: 20, NominalCapacity: 1}}})
+	show(5, balance.Request{ID: 1, Timeout: 400})
+	show(6, balance.AttemptResult{Request: 1, Endpoint: 20, Result: balance.Rejected, Latency: 1})
+	show(9, balance.AttemptResult{Request: 1, Attempt: 1, Endpoint: 10, Result: balance.OK, Latency: 3, RequestClosed: true})
 	// Output:
 	// 5 ms: send request 1 to server 20
 	// 5 ms: timer 1 in 50 ms
--- a/balance/paper_test.go
+++ b/balance/paper_test.go
@@ -5,19 +5,19 @@
 // The six behaviours that the paper asks tests for. The floor, recovery with time and the re-route to the healthiest
 // have theirs in rotation_test.go as well, with the exact values.
 
-func shares(t *testing.T, errs float64, n int) map[ServerID]int {
+func trafficShares(t *testing.T, errs float64, n int) map[EndpointID]int {
 	t.Helper()
-	g := newRig(t, baseConfig(), fleet(4)...)
-	hits := map[ServerID]int{}
+	g := newHarness(t, baseConfig(), newEndpoints(4)...)
+	hits := map[EndpointID]int{}
 	for range n {
-		g.b.servers[0].errs, g.b.servers[0].lastErr = errs, g.now // a success resets the count
+		g.b.endpoints[0].consecutiveErrors, g.b.endpoints[0].lastErrorAt = errs, g.now // a success resets the count
 		hits[sequence(g, 1)[0]]++
 	}
 	return hits
 }
 
 func TestPaperFairBaseline(t *testing.T) {
-	for id, n := range shares(t, 0, 40) {
+	for id, n := range trafficShares(t, 0, 40) {
 		if n != 10 {
 			t.Errorf("server %d got %d of 40", id, n)
 		}
@@ -25,20 +25,20 @@
 }
 
 func TestPaperPenaltyReducesShareAndTheFloorHolds(t *testing.T) {
-	none, some, many := shares(t, 0, 400)[1], shares(t, 2, 400)[1], shares(t, 1000, 400)[1]
+	none, some, many := trafficShares(t, 0, 400)[1], trafficShares(t, 2, 400)[1], trafficShares(t, 1000, 400)[1]
 	if !(none > some && some > many && many > 0) {
 		t.Fatalf("shares of 400 with none, two and very many errors: %d, %d, %d", none, some, many)
 	}
 }
 
 func TestPaperTimeRecovery(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	s := g.b.servers[0]
-	g.b.fault(s, false)
-	last := g.b.health(s)
+	g := newHarness(t, baseConfig(), newEndpoints(2)...)
+	s := g.b.endpoints[0]
+	g.b.recordError(s, false)
+	last := g.b.healthMultiplier(s)
 	for range 5 {
-		g.b.now += halfLife / 2
-		m := g.b.health(s)
+		g.b.now += errorHalfLife / 2
+		m := g.b.healthMultiplier(s)
 		if m <= last {
 			t.Fatalf("m went from %v to %v without errors", last, m)
 		}
@@ -47,22 +47,22 @@
 }
 
 func TestPaperRetryRecoversToBest(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
-	g.b.servers[1].errs, g.b.servers[1].lastErr = 2, g.now
-	id, _ := g.ask(safeClass)
-	g.b.servers[1].running = 1e6 // next in turn, and not the healthiest
-	if s, ok := sentTo(g.answer(id, 0, Full, 1)); !ok || s != 3 {
+	g := newHarness(t, baseConfig(), newEndpoints(3)...)
+	g.b.endpoints[1].consecutiveErrors, g.b.endpoints[1].lastErrorAt = 2, g.now
+	id, _ := g.request(idempotentClass)
+	g.b.endpoints[1].currentWeight = 1e6 // next in turn, and not the healthiest
+	if s, ok := attemptTarget(g.finishAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d", s)
 	}
 }
 
 func TestPaperIsolation(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for range 5 {
-		g.b.fault(g.b.servers[0], false)
+		g.b.recordError(g.b.endpoints[0], false)
 	}
-	for _, s := range g.b.servers[1:] {
-		if g.b.health(s) != 1 || g.b.resting(s) {
+	for _, s := range g.b.endpoints[1:] {
+		if g.b.healthMultiplier(s) != 1 || g.b.ejected(s) {
 			t.Errorf("server %d pays for the errors of server 1, of its cell and kind", s.ID)
 		}
 	}
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -7,30 +7,30 @@
 
 // world feeds one balancer random but legal events and checks rules 1 to 3 at every action.
 type world struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	b       *Balancer
-	cfg     Config
-	now     float64
-	servers map[ServerID]*Server
-	told    map[ServerID]bool // may be sent to
-	open    map[RequestID]*openRequest
-	timers  []pendingTimer
-	probes  []ServerID
+	t             *testing.T
+	rnd           *rand.Rand
+	b             *Balancer
+	cfg           Config
+	now           float64
+	endpoints     map[EndpointID]*Endpoint
+	known         map[EndpointID]bool // may be sent to
+	open          map[RequestID]*openRequest
+	timers        []pendingTimer
+	pendingChecks []EndpointID
 }
 
 type openRequest struct {
 	class    int
 	deadline float64
 	answered bool
-	tries    []openAttempt
+	attempts []openAttempt
 }
 
 type openAttempt struct {
-	server Server
-	sent   float64
-	live   bool
-	clean  bool
+	endpoint    Endpoint
+	sentAt      float64
+	inFlight    bool
+	notExecuted bool
 }
 
 type pendingTimer struct {
@@ -40,26 +40,26 @@
 
 func newWorld(t *testing.T, rnd *rand.Rand, cfg Config) *world {
 	w := &world{
-		t: t, rnd: rnd, b: New(cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
-		told: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
+		t: t, rnd: rnd, b: New(cfg), cfg: cfg, now: 5000, endpoints: map[EndpointID]*Endpoint{},
+		known: map[EndpointID]bool{}, open: map[RequestID]*openRequest{},
 	}
 	w.apply(w.b.Start(w.now))
 	return w
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+func TestRandomEventsPreserveInvariants(t *testing.T) {
 	for seed := range int64(40) {
 		rnd := rand.New(rand.NewSource(seed))
 		cfg := baseConfig()
 		cfg.Seed = uint64(seed)
-		cfg.Parallel, cfg.Cancel = seed%2 == 0, seed%3 != 0
+		cfg.Hedging, cfg.CancelAttempts = seed%2 == 0, seed%3 != 0
 		cfg.MaxAttempts = 1 + int(seed%4)
 		cfg.Subscribe = seed%5 == 0
 		if seed%4 == 1 {
-			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldUtil}
+			cfg.HealthChecks, cfg.ReportSource, cfg.ReportFields = true, ReportHealthCheck, []ReportField{FieldInFlight, FieldQueue, FieldUtil}
 		}
 		w := newWorld(t, rnd, cfg)
-		w.list(ListCached)
+		w.list(CachedSnapshot)
 		for id := RequestID(1); id <= 1500; id++ {
 			w.now += rnd.ExpFloat64() * 8
 			w.fireTimers()
@@ -83,23 +83,23 @@
 			left = 0
 		}
 		w.open[id] = &openRequest{class: class, deadline: w.now + left}
-		w.handle(Request{ID: id, Class: class, Remaining: left})
+		w.handle(Request{ID: id, Class: class, Timeout: left})
 	case n < 17:
 		w.endOne(id)
 	case n < 18:
-		w.list([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
+		w.list([]UpdateKind{Snapshot, Delta, CachedSnapshot}[w.rnd.Intn(3)])
 	case n < 19:
-		if len(w.probes) > 0 {
-			s := w.probes[0]
-			w.probes = w.probes[1:]
-			w.handle(ProbeResult{Server: s, Took: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
+		if len(w.pendingChecks) > 0 {
+			s := w.pendingChecks[0]
+			w.pendingChecks = w.pendingChecks[1:]
+			w.handle(HealthCheckResult{Endpoint: s, Latency: 1, LoadReport: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
 		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
 		if o := w.open[gone]; o != nil {
 			o.answered = true
 		}
-		w.handle(HangUp{Request: gone})
+		w.handle(ClientCanceled{Request: gone})
 	}
 }
 
@@ -110,13 +110,13 @@
 		if o == nil {
 			continue
 		}
-		for i := range o.tries {
-			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
-				a.live, a.clean = false, res.NeverRan()
+		for i := range o.attempts {
+			if a := &o.attempts[i]; a.inFlight && w.rnd.Intn(3) > 0 {
+				res := []Result{OK, OK, OK, OK, ServerError, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
+				a.inFlight, a.notExecuted = false, res.NotExecuted()
 				o.answered = o.answered || res == OK
-				w.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Took: w.now - a.sent, Finished: o.answered,
+				w.handle(AttemptResult{
+					Request: id, Attempt: i, Endpoint: a.endpoint.ID, Result: res, Latency: w.now - a.sentAt, RequestClosed: o.answered,
 				})
 				return
 			}
@@ -124,29 +124,29 @@
 	}
 }
 
-func (w *world) list(kind ListKind) {
-	var entries []Server
+func (w *world) list(kind UpdateKind) {
+	var entries []Endpoint
 	for i := range 10 {
-		id := ServerID(i + 1)
-		s := w.servers[id]
+		id := EndpointID(i + 1)
+		s := w.endpoints[id]
 		if s == nil || w.rnd.Intn(4) == 0 {
-			s = &Server{ID: id, State: State(w.rnd.Intn(3) % 2), Rating: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
+			s = &Endpoint{ID: id, Lifecycle: Lifecycle(w.rnd.Intn(3) % 2), NominalCapacity: 1, Cell: i % 3, Zone: i % 2, MachineType: i % 2}
 			if w.rnd.Intn(3) == 0 {
 				s.StartedAt = w.now
 			}
-			w.servers[id] = s
+			w.endpoints[id] = s
 		}
-		if kind == ListDelta && w.rnd.Intn(2) == 0 {
+		if kind == Delta && w.rnd.Intn(2) == 0 {
 			continue
 		}
-		if kind != ListDelta && w.rnd.Intn(8) == 0 {
-			w.told[id] = false
+		if kind != Delta && w.rnd.Intn(8) == 0 {
+			w.known[id] = false
 			continue
 		}
-		w.told[id] = s.State == Ready
+		w.known[id] = s.Lifecycle == Ready
 		entries = append(entries, *s)
 	}
-	w.handle(ServerList{Kind: kind, Servers: entries})
+	w.handle(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 func (w *world) handle(ev Event) {
@@ -161,18 +161,18 @@
 	for _, a := range acts {
 		switch a.Kind {
 		case SetTimer:
-			w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
-		case Probe:
-			if !w.cfg.Probes {
+			w.timers = append(w.timers, pendingTimer{w.now + a.Delay, a.Token})
+		case HealthCheck:
+			if !w.cfg.HealthChecks {
 				w.t.Fatal("probed where probes are not allowed")
 			}
-			w.probes = append(w.probes, a.Server)
-		case Send:
+			w.pendingChecks = append(w.pendingChecks, a.Endpoint)
+		case StartAttempt:
 			w.send(a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			w.final(a)
-		case Cancel:
-			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
+		case CancelAttempt:
+			if !w.cfg.CancelAttempts || a.Attempt >= len(w.open[a.Request].attempts) {
 				w.t.Fatalf("cancel of %+v", a)
 			}
 		}
@@ -184,38 +184,38 @@
 	switch {
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
-	case !w.told[a.Server]:
-		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
-	case len(o.tries) >= w.cfg.MaxAttempts:
+	case !w.known[a.Endpoint]:
+		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Endpoint)
+	case len(o.attempts) >= w.cfg.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
 	}
-	to := *w.servers[a.Server]
-	for _, p := range o.tries {
-		if p.live && !w.cfg.Parallel {
+	to := *w.endpoints[a.Endpoint]
+	for _, p := range o.attempts {
+		if p.inFlight && !w.cfg.Hedging {
 			w.t.Fatalf("request %d is out twice", a.Request)
 		}
-		if p.clean || c.Effect == Safe {
+		if p.notExecuted || c.Idempotency == Idempotent {
 			continue
 		}
-		apart := c.Group == GroupCell && p.server.Cell != to.Cell || c.Group == GroupZone && p.server.Zone != to.Zone
-		if c.Effect == Unsafe || apart || w.now >= p.sent+c.Window {
+		apart := c.DedupScope == DedupCell && p.endpoint.Cell != to.Cell || c.DedupScope == DedupZone && p.endpoint.Zone != to.Zone
+		if c.Idempotency == NonIdempotent || apart || w.now >= p.sentAt+c.DedupWindow {
 			w.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
-	o.tries = append(o.tries, openAttempt{server: to, sent: w.now, live: true})
+	o.attempts = append(o.attempts, openAttempt{endpoint: to, sentAt: w.now, inFlight: true})
 }
 
 func (w *world) final(a Action) {
 	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
-	if o.answered || w.now > o.deadline+w.cfg.AnswerSlack {
+	if o.answered || w.now > o.deadline+w.cfg.ResponseSlack {
 		w.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, w.now, o.deadline)
 	}
 	o.answered = true
-	if a.Kind == Fail || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if a.Kind == Fail || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll {
 		return
 	}
-	for _, p := range o.tries {
-		if !p.clean {
+	for _, p := range o.attempts {
+		if !p.notExecuted {
 			w.t.Fatalf("request %d may have run and was refused", a.Request)
 		}
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -6,12 +6,12 @@
 )
 
 // members returns the subset of sidecar n of peers over a fleet.
-func members(t *testing.T, n, peers int, servers []Server) map[ServerID]bool {
+func subsetMembers(t *testing.T, n, peers int, servers []Endpoint) map[EndpointID]bool {
 	t.Helper()
 	cfg := baseConfig()
-	cfg.Number, cfg.Peers = n, peers
-	got := map[ServerID]bool{}
-	for _, s := range newRig(t, cfg, servers...).b.subset() {
+	cfg.PeerIndex, cfg.PeerCount = n, peers
+	got := map[EndpointID]bool{}
+	for _, s := range newHarness(t, cfg, servers...).b.subset() {
 		got[s.ID] = true
 	}
 	return got
@@ -21,12 +21,12 @@
 // attempts got no connection.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
 	const peers, servers = 800, 100
-	all, fewer := fleet(servers), fleet(servers)[:servers-1]
-	held := map[ServerID]int{}
+	all, fewer := newEndpoints(servers), newEndpoints(servers)[:servers-1]
+	held := map[EndpointID]int{}
 	changed := 0
 	for n := range peers {
-		before, after := members(t, n, peers, all), members(t, n, peers, fewer)
-		if len(before) != leastWidth {
+		before, after := subsetMembers(t, n, peers, all), subsetMembers(t, n, peers, fewer)
+		if len(before) != minSubset {
 			t.Fatalf("sidecar %d uses %d servers", n, len(before))
 		}
 		for id := range before {
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	mean := float64(peers*leastWidth) / servers
+	mean := float64(peers*minSubset) / servers
 	for id, n := range held {
 		if math.Abs(float64(n)-mean) > mean/4 {
 			t.Errorf("server %d is used by %d sidecars, on average %.0f", id, n, mean)
@@ -49,22 +49,22 @@
 }
 
 func TestFewSidecarsUseTheWholeFleet(t *testing.T) {
-	for _, peers := range []int{1, 3, perServer} {
-		if got := members(t, 0, peers, fleet(60)); len(got) != 60 {
+	for _, peers := range []int{1, 3, connectionsPerEndpoint} {
+		if got := subsetMembers(t, 0, peers, newEndpoints(60)); len(got) != 60 {
 			t.Errorf("of %d sidecars one uses %d servers of 60", peers, len(got))
 		}
 	}
 }
 
 // A sidecar that turned hot must not crowd the few servers of its subset.
-func TestBusySidecarSpreadsWider(t *testing.T) {
+func TestBusySidecarUsesLargerSubset(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Peers = 1000
-	g := newRig(t, cfg, fleet(100)...)
+	cfg.PeerCount = 1000
+	g := newHarness(t, cfg, newEndpoints(100)...)
 	for range 1000 {
-		id, acts := g.ask(safeClass)
-		if has(acts, Send) {
-			g.answer(id, 0, OK, 5)
+		id, acts := g.request(idempotentClass)
+		if hasAction(acts, StartAttempt) {
+			g.finishAttempt(id, 0, OK, 5)
 		}
 		g.now += 4
 	}
@@ -74,35 +74,35 @@
 }
 
 // Most of a subset failed at once, and its sidecar had nobody left to send to.
-func TestFailedMembersWidenTheSubset(t *testing.T) {
+func TestEjectedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Peers = 1000
-	g := newRig(t, cfg, fleet(100)...)
-	before := append([]*server(nil), g.b.subset()...)
-	for _, s := range before[:leastWidth-1] {
-		g.b.fault(s, true)
+	cfg.PeerCount = 1000
+	g := newHarness(t, cfg, newEndpoints(100)...)
+	before := append([]*endpoint(nil), g.b.subset()...)
+	for _, s := range before[:minSubset-1] {
+		g.b.recordError(s, true)
 	}
-	if after := g.b.subset(); len(after) != 2*leastWidth-1 || after[0] != before[0] {
+	if after := g.b.subset(); len(after) != 2*minSubset-1 || after[0] != before[0] {
 		t.Fatalf("%d members with all but one of %d down", len(after), len(before))
 	}
 	g.now += 1e6
-	g.do(Timer{Token: 12345})
-	if after := g.b.subset(); len(after) != leastWidth {
+	g.handle(Timer{Token: 12345})
+	if after := g.b.subset(); len(after) != minSubset {
 		t.Fatalf("%d members after the rests", len(after))
 	}
 }
 
 // A keyed request that may have run could go nowhere, as no other member of the subset was of its cell.
-func TestAKeyBoundToACellSeesTheWholeFleet(t *testing.T) {
+func TestCellScopedKeyFallsBackToWholeFleet(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Peers = 1000
+	cfg.PeerCount = 1000
 	for n := range 20 {
-		cfg.Number = n
-		g := newRig(t, cfg, fleet(100)...)
-		id, acts := g.ask(cellClass)
-		first, _ := sentTo(acts)
-		second, ok := sentTo(g.answer(id, 0, Failed, 10))
-		if !ok || first == second || g.b.byID[first].Cell != g.b.byID[second].Cell {
+		cfg.PeerIndex = n
+		g := newHarness(t, cfg, newEndpoints(100)...)
+		id, acts := g.request(cellKeyClass)
+		first, _ := attemptTarget(acts)
+		second, ok := attemptTarget(g.finishAttempt(id, 0, ServerError, 10))
+		if !ok || first == second || g.b.endpointByID[first].Cell != g.b.endpointByID[second].Cell {
 			t.Fatalf("sidecar %d: sent to %d, then %d (%v)", n, first, second, ok)
 		}
 	}
@@ -110,14 +110,14 @@
 
 // Of 80 sidecars most have a few requests a second, and each opened connections to twelve servers for them. Where
 // sidecars tell each other what servers hold, fewer servers are enough, and still all are used.
-func TestInformedSidecarsUseFewerServers(t *testing.T) {
+func TestGossipAllowsSmallerSubsets(t *testing.T) {
 	const peers, servers = 80, 60
-	held := map[bool]map[ServerID]int{false: {}, true: {}}
+	held := map[bool]map[EndpointID]int{false: {}, true: {}}
 	for allowed, count := range held {
 		for n := range peers {
 			cfg := baseConfig()
-			cfg.Number, cfg.Peers, cfg.Messages = n, peers, allowed
-			for _, s := range newRig(t, cfg, fleet(servers)...).b.subset() {
+			cfg.PeerIndex, cfg.PeerCount, cfg.Gossip = n, peers, allowed
+			for _, s := range newHarness(t, cfg, newEndpoints(servers)...).b.subset() {
 				count[s.ID]++
 			}
 		}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -44,7 +44,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	loop := sidecar.NewLoop(sidecar.NewClock(), &cfg, log)
-	if err := loop.OpenPeers(); err != nil {
+	if err := loop.OpenGossip(); err != nil {
 		ln.Close()
 		return err
 	}
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -29,7 +29,7 @@
 }
 
 // discovery reports each connection made to it.
-func discovery(t *testing.T) (addr string, calls <-chan net.Conn) {
+func startDiscovery(t *testing.T) (addr string, calls <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,12 +50,12 @@
 }
 
 // start runs the sidecar and hands over what it logs.
-func start(t *testing.T, config string) (*exec.Cmd, <-chan string) {
+func startSidecar(t *testing.T, config string) (*exec.Cmd, <-chan string) {
 	t.Helper()
-	return startAs(t, exec.Command(os.Args[0]), config)
+	return startCommand(t, exec.Command(os.Args[0]), config)
 }
 
-func startAs(t *testing.T, cmd *exec.Cmd, config string) (*exec.Cmd, <-chan string) {
+func startCommand(t *testing.T, cmd *exec.Cmd, config string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd.Env = append(os.Environ(), "BE_PETRELHOOK=1", "LB_CONFIG="+config)
 	out, err := cmd.StderrPipe()
@@ -77,8 +77,8 @@
 }
 
 // SIGTERM is a clean end before any server is known, twice, and with SIGHUP before and after it.
-func TestTermination(t *testing.T) {
-	addr, _ := discovery(t)
+func TestSIGTERM(t *testing.T) {
+	addr, _ := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	config := fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "discovery": %q, "seed": "1", "settings":
 		{"classes": [{"name": "read", "effect": "read_like", "hard_limit_ms": 1000}]}}`, addr)
@@ -90,7 +90,7 @@
 		{syscall.SIGTERM, syscall.SIGTERM},
 		{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	} {
-		cmd, lines := start(t, path)
+		cmd, lines := startSidecar(t, path)
 		for line := range lines {
 			if strings.Contains(line, "serving") {
 				break
@@ -111,9 +111,9 @@
 
 // At SIGHUP the sidecar goes on with the discovery that the configuration names now; one that cannot be read changes
 // nothing. SIGTERM still ends it cleanly.
-func TestHangup(t *testing.T) {
-	first, firstCalls := discovery(t)
-	second, secondCalls := discovery(t)
+func TestSIGHUP(t *testing.T) {
+	first, firstCalls := startDiscovery(t)
+	second, secondCalls := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -125,7 +125,7 @@
 			{"classes": [{"name": "read", "effect": "read_like", "hard_limit_ms": 1000}], "discovery": "subscribe"}}`, discovery)
 	}
 	write(config(first))
-	cmd, lines := start(t, path)
+	cmd, lines := startSidecar(t, path)
 	wait := func(calls <-chan net.Conn) net.Conn {
 		t.Helper()
 		select {
@@ -173,7 +173,7 @@
 // While discovery is away, clients that send nothing fill all descriptors that there are for clients, and come again as
 // soon as they are turned away or closed. Discovery can still be called when it is back, servers be connected to, and
 // health and requests be served.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+func TestIdleClientsFillDescriptors(t *testing.T) {
 	away, err := net.Listen("tcp", "127.0.0.2:0") // where no client of this test gets its own port
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, lines := startAs(t, exec.Command("sh", "-c", `ulimit -n 256 && exec "$0"`, os.Args[0]), path)
+	_, lines := startCommand(t, exec.Command("sh", "-c", `ulimit -n 256 && exec "$0"`, os.Args[0]), path)
 	if line := <-lines; !strings.Contains(line, "serving") {
 		t.Fatal(line)
 	}
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -53,8 +53,8 @@
 		}
 	}()
 	switch ev := rec.Event.(type) {
-	case simwire.Begin:
-		cfg, err := settings.ParseSettings(ev.Seed, ev.Settings)
+	case simwire.InstanceStart:
+		cfg, err := settings.ParseConfig(ev.Seed, ev.Settings)
 		if err != nil {
 			h.instances[rec.Instance] = nil // its further events are ignored
 			h.reply.Fault(rec.Instance, err.Error())
@@ -63,7 +63,7 @@
 		b := balance.New(cfg)
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
-	case simwire.Down:
+	case simwire.InstanceDown:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
 		b, begun := h.instances[rec.Instance]
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -35,11 +35,11 @@
 const testSettings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func begin(instance uint16, seed uint64, profile string) []byte {
+func instanceStart(instance uint16, seed uint64, profile string) []byte {
 	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
 }
 
-func sheet(n int) []byte {
+func endpointTable(n int) []byte {
 	b := record(uint16(1000), uint16(0), uint32(n))
 	for i := range n {
 		b = append(b, record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
@@ -47,11 +47,11 @@
 	return b
 }
 
-func cached(instance uint16) []byte {
+func cachedSnapshot(instance uint16) []byte {
 	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
 }
 
-func ask(instance uint16, id uint64) []byte {
+func requestEvent(instance uint16, id uint64) []byte {
 	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
@@ -65,7 +65,7 @@
 }
 
 // sends counts the records of code 1000 in replies whose records are sends and timers only.
-func sends(t *testing.T, replies []byte) map[uint16]int {
+func countAttempts(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	n := map[uint16]int{}
 	for len(replies) > 0 {
@@ -86,17 +86,17 @@
 	return n
 }
 
-func TestSameActionsInOneProcessAndInThree(t *testing.T) {
+func TestActionsAreIndependentOfProcessCount(t *testing.T) {
 	play := func(instances ...uint16) []byte {
 		s := &script{}
 		var first [][]byte
 		for _, i := range instances {
-			first = append(first, begin(i, uint64(i)*7, testSettings), sheet(5), cached(i))
+			first = append(first, instanceStart(i, uint64(i)*7, testSettings), endpointTable(5), cachedSnapshot(i))
 		}
 		s.frame(1000, first...)
 		for id := range uint64(60) {
 			for _, i := range instances {
-				s.frame(1001+float64(id), ask(i, id))
+				s.frame(1001+float64(id), requestEvent(i, id))
 			}
 		}
 		return mustRun(t, s)
@@ -104,7 +104,7 @@
 	together := play(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
 		apart := play(i)
-		if n, m := sends(t, together)[i], sends(t, apart)[i]; n != 60 || m != 60 {
+		if n, m := countAttempts(t, together)[i], countAttempts(t, apart)[i]; n != 60 || m != 60 {
 			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
 		}
 		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
@@ -135,26 +135,26 @@
 
 func TestRestartWithinABatch(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, testSettings), sheet(3), cached(1), ask(1, 5),
-		record(uint16(1060), uint16(1)), begin(1, 8, testSettings), cached(1), ask(1, 6))
+	s.frame(1000, instanceStart(1, 7, testSettings), endpointTable(3), cachedSnapshot(1), requestEvent(1, 5),
+		record(uint16(1060), uint16(1)), instanceStart(1, 8, testSettings), cachedSnapshot(1), requestEvent(1, 6))
 	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
-	if n := sends(t, mustRun(t, s)); n[1] != 2 {
+	if n := countAttempts(t, mustRun(t, s)); n[1] != 2 {
 		t.Fatalf("%d sends, want one in each life", n[1])
 	}
 }
 
-func TestUnusableSettingsAreReported(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": []}`), sheet(1), cached(1))
+	s.frame(1000, instanceStart(1, 7, `{"classes": []}`), endpointTable(1), cachedSnapshot(1))
 	out := mustRun(t, s)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != 1090 || !strings.Contains(string(out), "no classes") {
 		t.Fatalf("reply %q", out)
 	}
 }
 
-func TestWrongInputEndsTheAdapter(t *testing.T) {
+func TestInvalidInputEndsTheAdapter(t *testing.T) {
 	notBegun := &script{}
-	notBegun.frame(1000, ask(4, 1))
+	notBegun.frame(1000, requestEvent(4, 1))
 	short := &script{}
 	short.frame(math.Inf(1))
 	for name, s := range map[string]*script{"instance not begun": notBegun, "clock": short} {
@@ -168,7 +168,7 @@
 // Frames that cannot be read end the adapter with an error and without a reply; an end of input is a clean end.
 func TestUnreadableFramesEndTheAdapter(t *testing.T) {
 	whole := &script{}
-	whole.frame(1000, begin(1, 7, testSettings), sheet(3), cached(1))
+	whole.frame(1000, instanceStart(1, 7, testSettings), endpointTable(3), cachedSnapshot(1))
 	cut := append([]byte(nil), whole.Bytes()[:whole.Len()-5]...)
 	long := append([]byte(nil), whole.Bytes()...)
 	binary.BigEndian.PutUint32(long[4:], 1<<31)
@@ -191,16 +191,16 @@
 }
 
 // Settings that cannot be read fault one instance; the others of the process go on.
-func TestUnusableSettingsLeaveOtherInstancesAlone(t *testing.T) {
+func TestInvalidSettingsLeaveOtherInstancesAlone(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": 5}`), begin(2, 7, testSettings), sheet(2), cached(1), cached(2), ask(1, 5), ask(2, 6))
+	s.frame(1000, instanceStart(1, 7, `{"classes": 5}`), instanceStart(2, 7, testSettings), endpointTable(2), cachedSnapshot(1), cachedSnapshot(2), requestEvent(1, 5), requestEvent(2, 6))
 	out := mustRun(t, s)
 	if binary.BigEndian.Uint16(out[4:]) != 1090 || binary.BigEndian.Uint16(out[6:]) != 1 {
 		t.Fatalf("no fault of instance 1: %x", out)
 	}
 	text := int(binary.BigEndian.Uint16(out[8:]))
 	rest := append(binary.BigEndian.AppendUint32(nil, uint32(len(out)-6-text)), out[10+text:]...)
-	if n := sends(t, rest); n[2] != 1 || n[1] != 0 {
+	if n := countAttempts(t, rest); n[2] != 1 || n[1] != 0 {
 		t.Fatalf("sends %v", n)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -63,58 +63,58 @@
 		FallTime     float64  `json:"fall_ms"`
 		FallMultiple float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices
-		Whole       float64 `json:"whole"`
+	Goal struct { // has the fields of balance.Goal, to which it converts; so does Penalties
+		Overall     float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
 		WorstTenant float64 `json:"worst_tenant"`
 	} `json:"result_mix"`
-	Prices struct {
-		CrossZone float64 `json:"cross_zone"`
-		Waste     float64 `json:"waste"`
-		Handshake float64 `json:"handshake"`
-		Probe     float64 `json:"probe"`
-		Peer      float64 `json:"peer"`
-		LateFail  float64 `json:"late_fail"`
+	Penalties struct {
+		CrossZone   float64 `json:"cross_zone"`
+		Waste       float64 `json:"waste"`
+		Handshake   float64 `json:"handshake"`
+		HealthCheck float64 `json:"probe"`
+		Gossip      float64 `json:"peer"`
+		LateFailure float64 `json:"late_fail"`
 	} `json:"penalties"`
 }
 
-var effects = map[string]balance.Effect{
-	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
+var idempotencyNames = map[string]balance.Idempotency{
+	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey, "non_idempotent": balance.NonIdempotent,
 }
 
-var groups = map[string]balance.Group{
-	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var dedupScopeNames = map[string]balance.DedupScope{
+	"": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
-var reportWays = map[string]balance.ReportVia{
+var reportSourceNames = map[string]balance.ReportSource{
 	"": balance.ReportNone, "silent": balance.ReportNone,
-	"piggyback": balance.ReportPiggyback, "pull": balance.ReportProbe,
+	"piggyback": balance.ReportPiggyback, "pull": balance.ReportHealthCheck,
 }
 
-var reportFields = map[string]balance.Field{
+var reportFieldNames = map[string]balance.ReportField{
 	"rif": balance.FieldInFlight, "q": balance.FieldQueue, "busy": balance.FieldUtil,
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
 
 // Profile is the settings in full: what the module is told, and what only sockets need: the names that
 // stand for positions there, and how long servers keep an idle connection (0: not told).
-type Profile struct {
-	Config                                 balance.Config
-	Classes, Tenants, Zones, Kinds, Fields []string
-	ConnIdle                               float64
+type Settings struct {
+	Balancer                                            balance.Config
+	Classes, Tenants, Zones, MachineTypes, ReportFields []string
+	ConnIdleTimeout                                     float64
 }
 
 // ParseProfile reads the settings for a sidecar on sockets.
-func ParseProfile(seed uint64, profile []byte) (Profile, error) {
-	s, err := parse(profile)
+func Parse(seed uint64, profile []byte) (Settings, error) {
+	s, err := parseDocument(profile)
 	if err != nil {
-		return Profile{}, err
+		return Settings{}, err
 	}
-	cfg, err := s.config(seed)
+	cfg, err := s.balancerConfig(seed)
 	// On sockets all news comes on a watch. Where lists are pushed, it is a watch of the sidecar's own agent.
-	cfg.Subscribe, cfg.Agent = true, !cfg.Subscribe
-	p := Profile{Config: cfg, Zones: s.Zones, Kinds: s.Kinds, Fields: s.Report.Fields, ConnIdle: s.Limits.ConnIdle}
+	cfg.Subscribe, cfg.LocalAgent = true, !cfg.Subscribe
+	p := Settings{Balancer: cfg, Zones: s.Zones, MachineTypes: s.Kinds, ReportFields: s.Report.Fields, ConnIdleTimeout: s.Limits.ConnIdle}
 	for i := range s.Classes {
 		p.Classes = append(p.Classes, s.Classes[i].Name)
 	}
@@ -125,34 +125,34 @@
 }
 
 // ParseSettings turns the profile of a Begin into a Config.
-func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
-	s, err := parse(profile)
+func ParseConfig(seed uint64, profile []byte) (balance.Config, error) {
+	s, err := parseDocument(profile)
 	if err != nil {
 		return balance.Config{}, err
 	}
-	return s.config(seed)
+	return s.balancerConfig(seed)
 }
 
-func parse(profile []byte) (s document, err error) {
+func parseDocument(profile []byte) (s document, err error) {
 	if err := json.Unmarshal(profile, &s); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
 	return s, nil
 }
 
-func (s *document) config(seed uint64) (balance.Config, error) {
+func (s *document) balancerConfig(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
-		Seed: seed, Number: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverShareWorth: or(s.OverShare, 1), Quantum: s.Quantum,
-		Parallel: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
-		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
+		Seed: seed, PeerIndex: s.Me, PeerCount: max(s.Peers, 1), Zone: s.Zone,
+		OverQuotaWeight: orDefault(s.OverShare, 1), BatchInterval: s.Quantum,
+		Hedging: s.Limits.Parallel, CancelAttempts: s.Limits.Cancel, HealthChecks: s.Limits.Probes,
+		Gossip: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
-		MarksRepeats: s.Clients.MarksRetry, MaxAttempts: or(s.Limits.MaxAttempts, 1),
-		DrainGrace: s.Rules.DrainGrace, ColdFrom: or(s.Rules.ColdFrom, 1), ColdTime: s.Rules.ColdTime,
-		FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime,
-		AskWithin: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
-		Goal:   balance.Goal(s.Goal),
-		Prices: balance.Prices(s.Prices),
+		ClientsMarkRetries: s.Clients.MarksRetry, MaxAttempts: orDefault(s.Limits.MaxAttempts, 1),
+		DrainGrace: s.Rules.DrainGrace, SlowStartFraction: orDefault(s.Rules.ColdFrom, 1), SlowStartDuration: s.Rules.ColdTime,
+		OverloadFactor: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallTime,
+		PollInterval: s.Rules.AskWithin, ResponseSlack: s.Rules.AnswerSlack,
+		Goal:      balance.Goal(s.Goal),
+		Penalties: balance.Penalties(s.Penalties),
 	}
 	switch s.Discovery {
 	case "", "automatic":
@@ -162,14 +162,14 @@
 		return cfg, fmt.Errorf("settings: unknown discovery %q", s.Discovery)
 	}
 	var ok bool
-	if cfg.Reports, ok = reportWays[s.Report.Via]; !ok {
+	if cfg.ReportSource, ok = reportSourceNames[s.Report.Via]; !ok {
 		return cfg, fmt.Errorf("settings: unknown report.via %q", s.Report.Via)
 	}
 	for _, name := range s.Report.Fields {
-		cfg.Fields = append(cfg.Fields, reportFields[name])
+		cfg.ReportFields = append(cfg.ReportFields, reportFieldNames[name])
 	}
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Allowance: t.Allowance, Share: t.Share})
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.Allowance, QuotaShare: t.Share})
 	}
 	return cfg, s.addClasses(&cfg)
 }
@@ -179,11 +179,11 @@
 		return fmt.Errorf("settings: no classes")
 	}
 	for i, c := range s.Classes {
-		effect, ok := effects[c.Effect]
+		effect, ok := idempotencyNames[c.Effect]
 		if !ok {
 			return fmt.Errorf("settings: class %d: unknown effect %q", i, c.Effect)
 		}
-		group, ok := groups[c.Group]
+		group, ok := dedupScopeNames[c.Group]
 		if !ok {
 			return fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
@@ -195,14 +195,14 @@
 			aim = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, Group: group, Window: or(c.Window, math.Inf(1)), Aim: aim, AimStretch: c.AimStretch,
-			Deadline: c.Deadline, Worth: or(c.Worth, 1), LateWorth: c.LateWorth, Stream: c.Stream,
+			Idempotency: effect, DedupScope: group, DedupWindow: orDefault(c.Window, math.Inf(1)), LatencyObjective: aim, ObjectivePerWork: c.AimStretch,
+			Deadline: c.Deadline, PriorityWeight: orDefault(c.Worth, 1), LateWeight: c.LateWorth, Stream: c.Stream,
 		})
 	}
 	return nil
 }
 
-func or[T any](v *T, otherwise T) T {
+func orDefault[T any](v *T, otherwise T) T {
 	if v == nil {
 		return otherwise
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"pebblelift/balance"
 )
 
-func TestSettings(t *testing.T) {
-	cfg, err := ParseSettings(9, []byte(`{"classes": [
+func TestParseConfig(t *testing.T) {
+	cfg, err := ParseConfig(9, []byte(`{"classes": [
 		{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500, "worth": 2, "late_worth": 0.3},
 		{"effect": "idempotency_key", "group": "cell", "hard_limit_ms": 600, "window_ms": 700}],
 		"a_new_key": {"x": [1]}, "discovery": "subscribe", "my_number": 2, "peers_total": 5, "clients": {"marks_retry": true},
@@ -20,26 +20,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 9 || !cfg.Subscribe || cfg.Number != 2 || cfg.Peers != 5 || !cfg.Parallel || !cfg.Probes ||
-		!cfg.MarksRepeats || cfg.Cancel || cfg.MaxAttempts != 4 || cfg.ColdFrom != 0.2 || cfg.Tenants[0].Share != 0.4 {
+	if cfg.Seed != 9 || !cfg.Subscribe || cfg.PeerIndex != 2 || cfg.PeerCount != 5 || !cfg.Hedging || !cfg.HealthChecks ||
+		!cfg.ClientsMarkRetries || cfg.CancelAttempts || cfg.MaxAttempts != 4 || cfg.SlowStartFraction != 0.2 || cfg.Tenants[0].QuotaShare != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
-	if want := (balance.Goal{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
+	if want := (balance.Goal{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
 		t.Errorf("goal %+v", cfg.Goal)
 	}
-	if cfg.Agent {
+	if cfg.LocalAgent {
 		t.Error("the simulator's discovery is no agent")
 	}
-	want := balance.Prices{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
-	if cfg.Prices != want {
-		t.Errorf("prices %+v", cfg.Prices)
+	want := balance.Penalties{CrossZone: 1, Waste: 2, Handshake: 3, HealthCheck: 4, Gossip: 5, LateFailure: 6}
+	if cfg.Penalties != want {
+		t.Errorf("prices %+v", cfg.Penalties)
 	}
 	second := cfg.Classes[1]
-	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.Aim != 600 || second.Worth != 1 {
+	if second.Idempotency != balance.IdempotentWithKey || second.DedupScope != balance.DedupCell || second.LatencyObjective != 600 || second.PriorityWeight != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
-	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
-		t.Errorf("reports %v %v", cfg.Reports, cfg.Fields)
+	if cfg.ReportSource != balance.ReportHealthCheck || len(cfg.ReportFields) != 3 || cfg.ReportFields[1] != balance.FieldUnknown {
+		t.Errorf("reports %v %v", cfg.ReportSource, cfg.ReportFields)
 	}
 	for _, bad := range []string{
 		``, `[]`, `{}`, `{"classes": []}`, `{"classes": [{"effect": "odd", "hard_limit_ms": 1}]}`,
@@ -47,28 +47,28 @@
 		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "discovery": "guess"}`,
 		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], "report": {"via": "pigeon"}}`,
 	} {
-		if _, err := ParseSettings(1, []byte(bad)); err == nil {
+		if _, err := ParseConfig(1, []byte(bad)); err == nil {
 			t.Errorf("no error for %s", bad)
 		}
 	}
 }
 
 // On sockets news comes on a watch only, also where the settings say that lists come by themselves.
-func TestListsOnSockets(t *testing.T) {
+func TestParseAlwaysSubscribes(t *testing.T) {
 	for discovery, agent := range map[string]bool{"": true, "automatic": true, "subscribe": false} {
 		settings := []byte(`{"classes": [{"effect": "read_like", "hard_limit_ms": 1500}], "discovery": "` + discovery + `"}`)
-		p, err := ParseProfile(9, settings)
-		if err != nil || !p.Config.Subscribe || p.Config.Agent != agent {
-			t.Errorf("%q on sockets: %+v, %v", discovery, p.Config, err)
+		p, err := Parse(9, settings)
+		if err != nil || !p.Balancer.Subscribe || p.Balancer.LocalAgent != agent {
+			t.Errorf("%q on sockets: %+v, %v", discovery, p.Balancer, err)
 		}
-		if cfg, err := ParseSettings(9, settings); err != nil || cfg.Subscribe == agent || cfg.Agent {
+		if cfg, err := ParseConfig(9, settings); err != nil || cfg.Subscribe == agent || cfg.LocalAgent {
 			t.Errorf("%q on the simulator's wire: %+v, %v", discovery, cfg, err)
 		}
 	}
 }
 
 // Whatever the profile, it is an error or gives settings that a balancer can start with.
-func FuzzSettings(f *testing.F) {
+func FuzzParseConfig(f *testing.F) {
 	for _, profile := range []string{
 		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1500}]}`,
 		`{"classes": [{"effect": "idempotency_key", "group": "cell", "hard_limit_ms": 600, "window_ms": -7}], "my_number": -3,
@@ -80,7 +80,7 @@
 		f.Add([]byte(profile))
 	}
 	f.Fuzz(func(t *testing.T, profile []byte) {
-		cfg, err := ParseSettings(1, profile)
+		cfg, err := ParseConfig(1, profile)
 		if err != nil {
 			return
 		}
@@ -89,15 +89,15 @@
 		}
 		b := balance.New(cfg)
 		b.Start(10)
-		if _, err := b.Handle(10, balance.ServerList{Servers: []balance.Server{{ID: 1, Rating: 1}}}); err != nil {
+		if _, err := b.Handle(10, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: 1, NominalCapacity: 1}}}); err != nil {
 			t.Fatal(err)
 		}
-		acts, err := b.Handle(20, balance.Request{ID: 1, Remaining: 100})
+		acts, err := b.Handle(20, balance.Request{ID: 1, Timeout: 100})
 		if err != nil || len(acts) == 0 {
 			t.Fatalf("a first request: %v, %+v", err, acts)
 		}
 		for _, a := range acts {
-			if !(a.At >= 0) {
+			if !(a.Delay >= 0) {
 				t.Fatalf("%+v", a)
 			}
 		}
@@ -105,15 +105,15 @@
 }
 
 // A sidecar on sockets meets the names behind the positions, and must not keep connections longer than servers do.
-func TestProfileKeepsTheNames(t *testing.T) {
-	p, err := ParseProfile(9, []byte(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 300}],
+func TestParseKeepsNames(t *testing.T) {
+	p, err := Parse(9, []byte(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 300}],
 		"tenants": [{"name": "acme"}], "zones": ["a", "b"], "kinds": ["m1"], "report": {"via": "piggyback", "fields": ["busy", "new"]},
 		"limits": {"conn_idle_ms": 700}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := [][]string{p.Classes, p.Tenants, p.Zones, p.Kinds, p.Fields}
-	if got := fmt.Sprint(names); got != "[[look] [acme] [a b] [m1] [busy new]]" || p.ConnIdle != 700 || p.Config.Seed != 9 {
-		t.Errorf("%s, idle %v, seed %d", got, p.ConnIdle, p.Config.Seed)
+	names := [][]string{p.Classes, p.Tenants, p.Zones, p.MachineTypes, p.ReportFields}
+	if got := fmt.Sprint(names); got != "[[look] [acme] [a b] [m1] [busy new]]" || p.ConnIdleTimeout != 700 || p.Balancer.Seed != 9 {
+		t.Errorf("%s, idle %v, seed %d", got, p.ConnIdleTimeout, p.Balancer.Seed)
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -20,11 +20,11 @@
 	Name              string
 	Listen, Discovery string
 	Limits            Limits
-	Known             Catalog // the list of servers as last had
-	Profile           settings.Profile
+	CachedCatalog     Catalog // the list of servers as last had
+	Profile           settings.Settings
 	PeerListen        netip.AddrPort   // where datagrams of other sidecars arrive; not valid: nowhere
 	Peers             []netip.AddrPort // their addresses, by number
-	PeersAll          netip.AddrPort   // reaches all of them
+	PeerBroadcast     netip.AddrPort   // reaches all of them
 }
 
 // Limits bound the process; 0 is no bound.
@@ -62,19 +62,19 @@
 	if err != nil {
 		return c, fmt.Errorf("config: seed: %w", err)
 	}
-	if c.Profile, err = settings.ParseProfile(seed, file.Settings); err != nil {
+	if c.Profile, err = settings.Parse(seed, file.Settings); err != nil {
 		return c, fmt.Errorf("config: %w", err)
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.Known, err = parseCatalog(file.Known); err != nil {
+		if c.CachedCatalog, err = parseCatalog(file.Known); err != nil {
 			return c, fmt.Errorf("config: known: %w", err)
 		}
 	}
-	return c, c.setPeers(file.PeerListen, file.PeersAll, file.Peers)
+	return c, c.parsePeerAddresses(file.PeerListen, file.PeersAll, file.Peers)
 }
 
 // setPeers takes in the addresses of the other sidecars. There is no name service, so each must be an IP address.
-func (c *Config) setPeers(listen, all string, peers []string) (err error) {
+func (c *Config) parsePeerAddresses(listen, all string, peers []string) (err error) {
 	parse := func(addr string) (netip.AddrPort, error) {
 		if addr == "" {
 			return netip.AddrPort{}, nil
@@ -88,7 +88,7 @@
 	if c.PeerListen, err = parse(listen); err != nil {
 		return err
 	}
-	if c.PeersAll, err = parse(all); err != nil {
+	if c.PeerBroadcast, err = parse(all); err != nil {
 		return err
 	}
 	c.Peers = make([]netip.AddrPort, len(peers))
@@ -117,10 +117,10 @@
 
 // Time is the moment at which the clock shows ms.
 func (c Clock) Time(ms float64) time.Time {
-	return c.start.Add(duration(ms - float64(c.start.UnixMicro())/1000))
+	return c.start.Add(fromMillis(ms - float64(c.start.UnixMicro())/1000))
 }
 
-func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // stableHash is the same at every sidecar and after each restart.
 func stableHash(text string) uint64 {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -16,8 +16,8 @@
 )
 
 // However a watch goes wrong, it ends with an error, and what came before was told.
-func TestWatchEnds(t *testing.T) {
-	list := catalog(7, true, instance("s", "127.0.0.1:1", "up"))
+func TestWatchErrors(t *testing.T) {
+	list := catalogJSON(7, true, instanceJSON("s", "127.0.0.1:1", "up"))
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(list), "", "  "); err != nil {
 		t.Fatal(err)
@@ -39,14 +39,14 @@
 		"nothing":         {"", false, 0},
 		"not even a head": {"nonsense", false, 0},
 	} {
-		p := newPeer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
+		p := newStubServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
 			io.WriteString(conn, c.answer)
 			return c.stays
 		})
-		d := newDiscovery(p.addr)
-		d.silence = 20 * time.Millisecond
+		d := newDiscoveryClient(p.addr)
+		d.stallTimeout = 20 * time.Millisecond
 		told := 0
-		err := d.watch(context.Background(), 1, patience, func(got Catalog) {
+		err := d.watch(context.Background(), 1, testTimeout, func(got Catalog) {
 			if told++; got.Generation != 7 || !got.Reset || len(got.Instances) != 1 {
 				t.Errorf("%s: %+v", name, got)
 			}
@@ -59,31 +59,31 @@
 
 // A dead watch must be given up, and the next one begun, before its news counts as told after 6 s, also where the call
 // in between gets no answer, or an answer that begins and tells nothing.
-func TestSilenceIsNoticedInTime(t *testing.T) {
-	if watchSilence <= 2*time.Second {
-		t.Errorf("%v, where an empty line comes every 2 s", watchSilence)
+func TestStalledWatchIsDetected(t *testing.T) {
+	if watchStallTimeout <= 2*time.Second {
+		t.Errorf("%v, where an empty line comes every 2 s", watchStallTimeout)
 	}
-	for kind, name := range map[balance.ListKind]string{balance.ListFailed: "no answer", balance.ListSilent: "half an answer"} {
+	for kind, name := range map[balance.UpdateKind]string{balance.WatchFailed: "no answer", balance.WatchStalled: "half an answer"} {
 		worst := 0.0
 		for seed := range uint64(50) {
-			b := balance.New(balance.Config{Seed: seed, Peers: 8, Subscribe: true, AskWithin: 10000, Classes: make([]balance.Class, 1)})
+			b := balance.New(balance.Config{Seed: seed, PeerCount: 8, Subscribe: true, PollInterval: 10000, Classes: make([]balance.Class, 1)})
 			b.Start(0)
-			spent, now := float64(watchSilence/time.Millisecond), 0.0
+			spent, now := float64(watchStallTimeout/time.Millisecond), 0.0
 			tell := func(ev balance.Event) (at float64) {
 				actions, err := b.Handle(now, ev)
 				if err != nil || len(actions) != 1 {
 					t.Fatalf("%v after %#v (%v)", actions, ev, err)
 				}
-				return actions[0].At
+				return actions[0].Delay
 			}
 			ask := balance.Timer{Token: 1 << 60}
 			tell(ask)
-			spent += tell(balance.ServerList{Kind: balance.ListSilent})
+			spent += tell(balance.EndpointUpdate{Kind: balance.WatchStalled})
 			call := tell(ask)
-			if kind == balance.ListSilent {
-				call = float64(watchSilence / time.Millisecond)
+			if kind == balance.WatchStalled {
+				call = float64(watchStallTimeout / time.Millisecond)
 			}
-			spent += call + tell(balance.ServerList{Kind: kind})
+			spent += call + tell(balance.EndpointUpdate{Kind: kind})
 			worst = max(worst, spent)
 		}
 		if worst > 6000 {
@@ -93,35 +93,35 @@
 }
 
 // An answer that does not begin is not silence: discovery may be slow.
-func TestACallWithoutAnAnswer(t *testing.T) {
+func TestWatchWithoutResponse(t *testing.T) {
 	for answer, silence := range map[string]bool{"": false, "HTTP/1.1 200 OK\r\n\r\n": true} {
-		p := newPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		p := newStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 			io.WriteString(c, answer)
 			return true
 		})
-		d := newDiscovery(p.addr)
-		d.silence = 20 * time.Millisecond
-		within := patience
+		d := newDiscoveryClient(p.addr)
+		d.stallTimeout = 20 * time.Millisecond
+		within := testTimeout
 		if !silence {
-			within = d.silence
+			within = d.stallTimeout
 		}
-		if err := d.watch(context.Background(), 1, within, nil); err == nil || errors.Is(err, errSilent) != silence {
+		if err := d.watch(context.Background(), 1, within, nil); err == nil || errors.Is(err, errStalled) != silence {
 			t.Errorf("%q: %v", answer, err)
 		}
 	}
 }
 
 func TestFetch(t *testing.T) {
-	text := catalog(9, true, instance("s", "127.0.0.1:1", "up"))
-	p := newPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
+	text := catalogJSON(9, true, instanceJSON("s", "127.0.0.1:1", "up"))
+	p := newStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+text)
 		return false
 	})
-	if c, err := newDiscovery(p.addr).fetch(context.Background()); err != nil || c.Generation != 9 || len(c.Instances) != 1 {
+	if c, err := newDiscoveryClient(p.addr).fetch(context.Background()); err != nil || c.Generation != 9 || len(c.Instances) != 1 {
 		t.Errorf("%+v %v", c, err)
 	}
 	text = "{"
-	if _, err := newDiscovery(p.addr).fetch(context.Background()); err == nil {
+	if _, err := newDiscoveryClient(p.addr).fetch(context.Background()); err == nil {
 		t.Error("garbage is taken for a list")
 	}
 }
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 		l := NewLoop(NewClock(), &cfg, slog.New(slog.DiscardHandler))
-		l.disc.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+		l.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return d.dial(ctx, n)
 		}
 		fleet = append(fleet, l)
@@ -158,13 +158,13 @@
 
 // However long discovery was away and whatever it did with calls meanwhile, each of 300 sidecars that call it in turn has
 // the list, and what changed, within 6 s of its return.
-func TestAllHaveTheListSoonAfterDiscoveryIsBack(t *testing.T) {
+func TestFleetReceivesCatalogSoonAfterDiscoveryRecovers(t *testing.T) {
 	for _, down := range []string{"refuse", "reset", "hang", "head"} {
 		for _, away := range []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, 20 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
 				d := &fleetDiscovery{late: 100 * time.Millisecond}
-				d.turnTo("", catalog(1, true, instance("s-0", "127.0.0.1:1", "up")))
-				_, stop := d.start(t, known("127.0.0.1:1"))
+				d.turnTo("", catalogJSON(1, true, instanceJSON("s-0", "127.0.0.1:1", "up")))
+				_, stop := d.start(t, cachedCatalogJSON("127.0.0.1:1"))
 				defer stop()
 				time.Sleep(20 * time.Second)
 				if n, _ := d.lists(); n < fleetSize {
@@ -172,7 +172,7 @@
 				}
 				d.turnTo(down, "")
 				time.Sleep(away)
-				d.turnTo("", catalog(2, true, instance("s-0", "127.0.0.1:1", "draining")))
+				d.turnTo("", catalogJSON(2, true, instanceJSON("s-0", "127.0.0.1:1", "draining")))
 				back := time.Now()
 				time.Sleep(30 * time.Second)
 				n, at := d.lists()
@@ -185,15 +185,15 @@
 }
 
 // All processes of a fleet that start at once are ready within 10 s, whatever discovery does and whatever they know.
-func TestReadyInTime(t *testing.T) {
+func TestReadyWithinTimeout(t *testing.T) {
 	for _, down := range []string{"", "refuse", "hang", "head"} {
 		for name, known := range map[string]string{
-			"a list": known("127.0.0.1:1"), "an empty one": catalog(1, true), "none": "null",
-			"an old one": catalog(1, true, instance("gone", "127.0.0.1:2", "draining")),
+			"a list": cachedCatalogJSON("127.0.0.1:1"), "an empty one": catalogJSON(1, true), "none": "null",
+			"an old one": catalogJSON(1, true, instanceJSON("gone", "127.0.0.1:2", "draining")),
 		} {
 			synctest.Test(t, func(t *testing.T) {
 				d := &fleetDiscovery{}
-				d.turnTo(down, catalog(2, true, instance("s-0", "127.0.0.1:1", "up")))
+				d.turnTo(down, catalogJSON(2, true, instanceJSON("s-0", "127.0.0.1:1", "up")))
 				if down == "" {
 					d.late = 20 * time.Second // overrun: none gets an answer in time
 				}
@@ -202,7 +202,7 @@
 				time.Sleep(10 * time.Second)
 				ready := 0
 				for _, l := range fleet {
-					if l.healthy.Load() {
+					if l.ready.Load() {
 						ready++
 					}
 				}
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -17,77 +17,77 @@
 // on all connections. Clients send one at a time, and the largest is smaller; who sends more hides that it goes away, and
 // passes for one that has gone.
 const (
-	maxAhead     = 2 * maxBody
-	aheadPart    = 1.0 / 32
-	defaultAhead = 4 << 20
+	maxReadAhead      = 2 * maxBody
+	readAheadFraction = 1.0 / 32
+	defaultReadAhead  = 4 << 20
 )
 
-func (l Limits) ahead() int64 {
+func (l Limits) readAheadBytes() int64 {
 	if l.MemoryMB <= 0 {
-		return defaultAhead
+		return defaultReadAhead
 	}
-	return int64(aheadPart * float64(l.MemoryMB) * (1 << 20))
+	return int64(readAheadFraction * float64(l.MemoryMB) * (1 << 20))
 }
 
 // headConn keeps the head of the present request as it came. net/http follows Transfer-Encoding where
 // Content-Length stands beside it and hides the latter, though the two may disagree where the request ends: what
 // one side takes for its body is the next request to the other.
-type headConn struct {
+type headRecorder struct {
 	net.Conn
-	leaving *atomic.Int32 // see bounded
-	spare   *atomic.Int64 // bytes that may yet be read ahead, on all connections
-	taken   atomic.Int64  // ... of which it has these
-	ahead   []byte        // read while a handler runs; only the server's reads use it, one at a time
+	drainMode       *atomic.Int32 // see bounded
+	readAheadBudget *atomic.Int64 // bytes that may yet be read ahead, on all connections
+	readAheadUsed   atomic.Int64  // ... of which it has these
+	readAhead       []byte        // read while a handler runs; only the server's reads use it, one at a time
 
-	mu    sync.Mutex // the server reads in the background while a handler runs
-	head  []byte
-	whole bool
-	runs  bool // a handler
-	idle  bool // no byte of the next request was read
-	used  bool // there was a request before
+	mu           sync.Mutex // the server reads in the background while a handler runs
+	head         []byte
+	headComplete bool
+	handling     bool // a handler
+	idle         bool // no byte of the next request was read
+	reused       bool // there was a request before
 
-	wanted time.Time // the server's own read deadline
+	serverDeadline time.Time // the server's own read deadline
 }
 
 // longAgo as a deadline ends a read that has got nothing. Unlike a close, it does not take away what one has got.
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // leave ends the connection if it is idle and is to end.
-func (c *headConn) leave() {
+func (c *headRecorder) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left() {
-		c.Conn.SetReadDeadline(longAgo)
+	if c.shouldDrain() {
+		c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-func (c *headConn) left() bool {
-	which := c.leaving.Load()
-	return c.idle && (which == leaveAll || which == leaveUsed && c.used)
+func (c *headRecorder) shouldDrain() bool {
+	which := c.drainMode.Load()
+	return c.idle && (which == drainAll || which == drainReused && c.reused)
 }
 
 // SetReadDeadline leaves one that ends the connection in place: the server sets its own as it begins to wait.
-func (c *headConn) SetReadDeadline(t time.Time) error {
+func (c *headRecorder) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wanted = t; c.left() {
-		t = longAgo
+	if c.serverDeadline = t; c.shouldDrain() {
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *headConn) Read(p []byte) (int, error) {
+func (c *headRecorder) Read(p []byte) (int, error) {
 	n, err := c.read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > 0 {
 		c.idle = false
 	}
-	if !c.whole && len(c.head) <= maxHead {
+	if !c.headComplete && len(c.head) <= maxHeadSize {
 		from := max(0, len(c.head)-3) // its end may come in parts
 		c.head = append(c.head, p[:n]...)
 		if i := headEnd(c.head[from:]); i >= 0 {
-			c.head, c.whole = c.head[:from+i], true
+			c.head, c.headComplete = c.head[:from+i], true
 		}
 	}
 	return n, err
@@ -96,23 +96,23 @@
 // read takes what was read ahead first. net/http waits for the client's going away by reading one byte while a handler
 // runs, and waits no more once it has one of a further request. So it gets none: what comes is read ahead, until the
 // handler is done, which a deadline tells, or the client has gone.
-func (c *headConn) read(p []byte) (int, error) {
-	if len(p) > 1 || !c.handled() {
-		if n := c.unread(p); n > 0 {
+func (c *headRecorder) read(p []byte) (int, error) {
+	if len(p) > 1 || !c.hasRequest() {
+		if n := c.consumeReadAhead(p); n > 0 {
 			return n, nil
 		}
 		return c.Conn.Read(p)
 	}
-	c.take()
+	c.beginHandling()
 	for buf := p; ; {
 		n, err := c.Conn.Read(buf)
-		c.ahead = append(c.ahead, buf[:n]...)
-		if c.reserve(int64(n)); err == nil && (len(c.ahead) > maxAhead || c.spare.Load() < 0) {
+		c.readAhead = append(c.readAhead, buf[:n]...)
+		if c.reserve(int64(n)); err == nil && (len(c.readAhead) > maxReadAhead || c.readAheadBudget.Load() < 0) {
 			err = errors.New("too much ahead of an answer")
 		}
 		if err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				c.drop()
+				c.dropReadAhead()
 			}
 			return 0, err
 		}
@@ -123,53 +123,53 @@
 }
 
 // unread takes some of what was read ahead.
-func (c *headConn) unread(p []byte) int {
-	n := copy(p, c.ahead)
+func (c *headRecorder) consumeReadAhead(p []byte) int {
+	n := copy(p, c.readAhead)
 	c.release(int64(n))
-	if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-		c.ahead = nil // its memory is free again
+	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+		c.readAhead = nil // its memory is free again
 	}
 	return n
 }
 
 // drop forgets what was read ahead.
-func (c *headConn) drop() {
-	c.release(int64(len(c.ahead)))
-	c.ahead = nil
+func (c *headRecorder) dropReadAhead() {
+	c.release(int64(len(c.readAhead)))
+	c.readAhead = nil
 }
 
-func (c *headConn) reserve(n int64) {
-	c.taken.Add(n)
-	c.spare.Add(-n)
+func (c *headRecorder) reserve(n int64) {
+	c.readAheadUsed.Add(n)
+	c.readAheadBudget.Add(-n)
 }
 
 // release gives back up to n bytes. The connection may be closed, and all given back, while one reads.
-func (c *headConn) release(n int64) {
+func (c *headRecorder) release(n int64) {
 	for {
-		had := c.taken.Load()
-		if back := min(n, had); c.taken.CompareAndSwap(had, had-back) {
-			c.spare.Add(back)
+		had := c.readAheadUsed.Load()
+		if back := min(n, had); c.readAheadUsed.CompareAndSwap(had, had-back) {
+			c.readAheadBudget.Add(back)
 			return
 		}
 	}
 }
 
 // handled: a handler runs, or is about to: the head was seen, or all of it came with the request before.
-func (c *headConn) handled() bool {
+func (c *headRecorder) hasRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.whole || c.runs || len(c.head) == 0
+	return c.headComplete || c.handling || len(c.head) == 0
 }
 
 // take marks the present request as handed to a handler, or as good as. It may have come whole with the one before, and
 // the connection have passed for idle when such were to end.
-func (c *headConn) take() {
+func (c *headRecorder) beginHandling() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left() {
-		c.Conn.SetReadDeadline(c.wanted)
+	if c.shouldDrain() {
+		c.Conn.SetReadDeadline(c.serverDeadline)
 	}
-	c.runs, c.idle = true, false
+	c.handling, c.idle = true, false
 }
 
 // headEnd is the place just behind the empty line that ends a head; -1: there is none.
@@ -184,21 +184,21 @@
 }
 
 // next forgets the head of a request that is over.
-func (c *headConn) next() {
+func (c *headRecorder) finishRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.head, c.whole, c.runs, c.idle, c.used = c.head[:0], false, false, len(c.ahead) == 0, true
+	c.head, c.headComplete, c.handling, c.idle, c.reused = c.head[:0], false, false, len(c.readAhead) == 0, true
 }
 
 // fields tells the names of the header fields of the present request, in lower case; ok: its head was seen.
-func (c *headConn) fields(req *http.Request) (names map[string]bool, ok bool) {
+func (c *headRecorder) fieldNames(req *http.Request) (names map[string]bool, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	line, rest, _ := strings.Cut(string(c.head), "\n")
 	want := req.Method + " " + req.RequestURI + " " + req.Proto
 	line = strings.TrimSuffix(line, "\r")
 	// The first byte may have been read while the request before was being answered.
-	if !c.whole || !strings.HasSuffix(want, line) || len(line) < len(want)-1 {
+	if !c.headComplete || !strings.HasSuffix(want, line) || len(line) < len(want)-1 {
 		return nil, false
 	}
 	names = map[string]bool{}
@@ -209,30 +209,30 @@
 	return names, true
 }
 
-type headKey struct{}
+type headRecorderKey struct{}
 
 // withHead and forgetHead tie a connection's head to the requests on it.
-func withHead(ctx context.Context, c net.Conn) context.Context {
-	if p, ok := c.(*place); ok {
-		return context.WithValue(ctx, headKey{}, &p.headConn)
+func withHeadRecorder(ctx context.Context, c net.Conn) context.Context {
+	if p, ok := c.(*trackedConn); ok {
+		return context.WithValue(ctx, headRecorderKey{}, &p.headRecorder)
 	}
 	return ctx
 }
 
-func forgetHead(c net.Conn, state http.ConnState) {
-	if p, ok := c.(*place); ok && state == http.StateIdle {
-		p.next()
+func finishRequestWhenIdle(c net.Conn, state http.ConnState) {
+	if p, ok := c.(*trackedConn); ok && state == http.StateIdle {
+		p.finishRequest()
 	}
 }
 
 // ambiguous: the two ends could disagree where this request ends. A chunked one must come with its head seen, as
 // clients do not send a request before the one ahead of it is answered; HTTP/1.0 knows no chunks.
-func ambiguous(req *http.Request) bool {
-	c, ok := req.Context().Value(headKey{}).(*headConn)
+func ambiguousLength(req *http.Request) bool {
+	c, ok := req.Context().Value(headRecorderKey{}).(*headRecorder)
 	chunked, old := len(req.TransferEncoding) > 0, !req.ProtoAtLeast(1, 1)
 	if !ok || !chunked && !old {
 		return false
 	}
-	names, seen := c.fields(req)
+	names, seen := c.fieldNames(req)
 	return chunked && (!seen || names["content-length"]) || old && names["transfer-encoding"]
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,86 +16,86 @@
 
 // readyAfter is when a sidecar is ready without any server in its list: clients are told at once that there is none, and
 // when to come again, while discovery may be away for long. A process has 10 s to be ready.
-const readyAfter = 5 * time.Second
+const readinessTimeout = 5 * time.Second
 
 // answerMargin is how long before the client's time is up its answer is due: timers and writes take time.
-const answerMargin = 4 // ms
+const responseMargin = 4 // ms
 
 // Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it;
 // others hand it functions to run there.
 type Loop struct {
-	clock   Clock
-	profile *Config
-	b       *balance.Balancer
-	log     *slog.Logger
-	events  chan func()
-	ended   chan struct{}
-	healthy atomic.Bool // requests can be served
-	clients atomic.Pointer[bounded]
+	clock    Clock
+	config   *Config
+	balancer *balance.Balancer
+	log      *slog.Logger
+	queue    chan func()
+	ended    chan struct{}
+	ready    atomic.Bool // requests can be served
+	listener atomic.Pointer[limitedListener]
 
 	// Owned by the loop's goroutine.
-	ctx        context.Context
-	up         *upstream
-	disc       *discovery
-	timers     timerHeap
-	requests   map[balance.RequestID]*request
-	traces     map[string]bool // of the requests in the table
-	lastID     balance.RequestID
-	servers    map[balance.ServerID]*server
-	generation uint64
-	stopWatch  context.CancelFunc
-	later      []func() // outcomes that an action had at once
-	counts     counts
-	peers      *peers // nil: none, or no messages allowed
+	ctx           context.Context
+	pool          *connectionPool
+	discovery     *discoveryClient
+	timers        timerHeap
+	requests      map[balance.RequestID]*request
+	traceIDs      map[string]bool // of the requests in the table
+	lastRequestID balance.RequestID
+	endpoints     map[balance.EndpointID]*endpointEntry
+	generation    uint64
+	stopWatch     context.CancelFunc
+	deferred      []func() // outcomes that an action had at once
+	statistics    statistics
+	gossip        *gossipTransport // nil: none, or no messages allowed
 }
 
 // request is a client's request until it is answered and its last attempt has ended.
 type request struct {
-	inbound
-	id       balance.RequestID
-	effect   balance.Effect
-	window   float64
-	deadline float64
-	answer   chan answer // takes one
-	closed   bool
-	attempts []*attempt
-	out      int
+	clientRequest
+	id          balance.RequestID
+	idempotency balance.Idempotency
+	dedupWindow float64
+	deadline    float64
+	response    chan clientResponse // takes one
+	closed      bool
+	attempts    []*attempt
+	inFlight    int
 }
 
 type attempt struct {
-	r      *request
-	number int
-	to     *server
-	id     balance.ServerID
-	sent   float64
-	call   *call
-	clean  bool // it is certain that it never ran
-	done   bool
-	cancel context.CancelFunc
-	over   chan struct{} // closed when nothing of it goes on: its connection is closed, or idle again
+	request     *request
+	number      int
+	endpoint    *endpointEntry
+	endpointID  balance.EndpointID
+	sentAt      float64
+	call        *upstreamCall
+	notExecuted bool // it is certain that it never ran
+	done        bool
+	cancel      context.CancelFunc
+	released    chan struct{} // closed when nothing of it goes on: its connection is closed, or idle again
 }
 
 // server is one instance of the list, kept while it is listed or attempts need it.
-type server struct {
-	name string
-	end  endpoint
+type endpointEntry struct {
+	name        string
+	connections endpoint
 }
 
 // answer is what the client gets.
-type answer struct {
-	kind       balance.Result // OK: served. Full: refused. Failed
-	reply      reply
+type clientResponse struct {
+	result     balance.Result // OK: served. Full: refused. Failed
+	response   upstreamResponse
 	retryAfter float64 // ms; 0: no advice
 }
 
 // NewLoop makes a loop; Run runs it.
 func NewLoop(clock Clock, c *Config, log *slog.Logger) *Loop {
 	return &Loop{
-		clock: clock, profile: c, b: balance.New(c.Profile.Config), log: log,
-		events: make(chan func(), 1024), ended: make(chan struct{}),
-		up: newUpstream(clock, c, c.Limits.upstream()), disc: newDiscovery(c.Discovery),
-		requests: map[balance.RequestID]*request{}, traces: map[string]bool{},
-		servers: map[balance.ServerID]*server{},
+		clock: clock, config: c, balancer: balance.New(c.Profile.Balancer), log: log,
+		queue: make(chan func(), 1024), ended: make(chan struct{}),
+		pool: newConnectionPool(clock, c, c.Limits.upstreamConnections()), discovery: newDiscoveryClient(c.Discovery),
+		requests: map[balance.RequestID]*request{}, traceIDs: map[string]bool{},
+		endpoints: map[balance.EndpointID]*endpointEntry{},
 	}
 }
 
@@ -103,93 +103,93 @@
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
-	if l.peers != nil {
-		defer l.peers.close()
-		go l.hear()
-	}
-	l.generation = l.profile.Known.Generation // the first watch, begun by Start, asks for what came after it
-	l.carryOut(l.b.Start(l.clock.Now()))
-	l.list(l.profile.Known, balance.ListCached)
-	ready := time.AfterFunc(readyAfter, func() { l.healthy.Store(true) })
+	if l.gossip != nil {
+		defer l.gossip.close()
+		go l.receiveGossip()
+	}
+	l.generation = l.config.CachedCatalog.Generation // the first watch, begun by Start, asks for what came after it
+	l.execute(l.balancer.Start(l.clock.Now()))
+	l.applyCatalog(l.config.CachedCatalog, balance.CachedSnapshot)
+	ready := time.AfterFunc(readinessTimeout, func() { l.ready.Store(true) })
 	defer ready.Stop()
 	tick := time.NewTimer(0)
 	defer tick.Stop()
-	status := time.NewTicker(statusEvery)
+	status := time.NewTicker(statusInterval)
 	defer status.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-l.events:
+		case f := <-l.queue:
 			f()
 		case <-tick.C:
 		case <-status.C:
 			l.logStatus()
 		}
-		l.fire()
+		l.fireTimers()
 		wait := time.Hour
 		if len(l.timers) > 0 {
-			wait = max(0, duration(l.timers[0].due-l.clock.Now()))
+			wait = max(0, fromMillis(l.timers[0].due-l.clock.Now()))
 		}
 		tick.Reset(wait)
 	}
 }
 
 // post has f run in the loop.
-func (l *Loop) post(f func()) {
+func (l *Loop) enqueue(f func()) {
 	select {
-	case l.events <- f:
+	case l.queue <- f:
 	case <-l.ended:
 	}
 }
 
 // tell hands the module an event and carries out what it decides.
-func (l *Loop) tell(ev balance.Event) error {
-	actions, err := l.b.Handle(l.clock.Now(), ev)
+func (l *Loop) dispatch(ev balance.Event) error {
+	actions, err := l.balancer.Handle(l.clock.Now(), ev)
 	if err != nil {
 		l.log.Warn("the module refuses an event", "err", err)
 		return err
 	}
-	l.carryOut(actions)
-	for len(l.later) > 0 { // only now: actions are valid until the next event
-		f := l.later[0]
-		l.later = l.later[1:]
+	l.execute(actions)
+	for len(l.deferred) > 0 { // only now: actions are valid until the next event
+		f := l.deferred[0]
+		l.deferred = l.deferred[1:]
 		f()
 	}
 	return nil
 }
 
-func (l *Loop) carryOut(actions []balance.Action) {
+func (l *Loop) execute(actions []balance.Action) {
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case balance.Send:
-			l.send(a)
-		case balance.Refuse:
-			l.finish(a.Request, answer{kind: balance.Full, retryAfter: a.At})
+		case balance.StartAttempt:
+			l.startAttempt(a)
+		case balance.Reject:
+			l.respond(a.Request, clientResponse{result: balance.Rejected, retryAfter: a.Delay})
 		case balance.Fail:
-			l.finish(a.Request, answer{kind: balance.Failed})
-		case balance.Cancel:
+			l.respond(a.Request, clientResponse{result: balance.ServerError})
+		case balance.CancelAttempt:
 			l.cancelAttempt(a)
 		case balance.SetTimer:
 			// A hair later: an attempt that times out at the same moment comes first, as the module expects.
-			l.timers.add(timer{due: l.clock.Now() + a.At + 0.02, token: a.Token})
-		case balance.Probe:
-			l.probe(a.Server)
+			l.timers.add(timer{due: l.clock.Now() + a.Delay + 0.02, token: a.Token})
+		case balance.HealthCheck:
+			l.healthCheck(a.Endpoint)
 		case balance.CloseIdle:
-			if s := l.servers[a.Server]; s != nil {
-				l.up.closeIdle(&s.end)
+			if s := l.endpoints[a.Endpoint]; s != nil {
+				l.pool.closeIdle(&s.connections)
 			}
 		case balance.Watch:
-			l.watch(duration(a.At))
+			l.watch(fromMillis(a.Delay))
 		case balance.Fetch:
-			disc := l.disc
+			disc := l.discovery
 			go func() {
 				c, err := disc.fetch(l.ctx)
-				l.post(func() { l.called(c, err) })
+				l.enqueue(func() { l.handleDiscoveryResult(c, err) })
 			}()
-		case balance.Post:
-			l.peers.post(a.Peer, a.Data)
+		case balance.SendGossip:
+			l.gossip.send(a.Peer, a.Data)
 		case balance.Log:
 			l.log.Info(a.Text)
 		}
@@ -197,21 +197,21 @@
 }
 
 // accept takes a request in. It returns nil where its id is in use or the module cannot take it.
-func (l *Loop) accept(in inbound, out chan answer) *request {
-	if l.traces[in.trace] {
+func (l *Loop) acceptRequest(in clientRequest, out chan clientResponse) *request {
+	if l.traceIDs[in.traceID] {
 		return nil
 	}
-	class := l.profile.Profile.Config.Classes[in.class]
-	l.lastID++
+	class := l.config.Profile.Balancer.Classes[in.class]
+	l.lastRequestID++
 	r := &request{
-		inbound: in, id: l.lastID, effect: class.Effect, window: class.Window,
-		deadline: in.arrived + in.remaining - math.Min(answerMargin, in.remaining/10), answer: out,
-	}
-	l.requests[r.id], l.traces[r.trace] = r, true
-	l.counts.requests++
-	err := l.tell(balance.Request{
-		ID: r.id, Class: in.class, Tenant: in.tenant, WorkHint: in.hint, Key: in.key,
-		Remaining: math.Max(r.deadline-l.clock.Now(), 1e-3), Repeat: in.repeat,
+		clientRequest: in, id: l.lastRequestID, idempotency: class.Idempotency, dedupWindow: class.DedupWindow,
+		deadline: in.arrivedAt + in.timeout - math.Min(responseMargin, in.timeout/10), response: out,
+	}
+	l.requests[r.id], l.traceIDs[r.traceID] = r, true
+	l.statistics.requests++
+	err := l.dispatch(balance.Request{
+		ID: r.id, Class: in.class, Tenant: in.tenant, WorkHint: in.workHint, AffinityKey: in.affinityKey,
+		Timeout: math.Max(r.deadline-l.clock.Now(), 1e-3), IsRetry: in.isRetry,
 	})
 	if err != nil {
 		l.remove(r)
@@ -221,44 +221,44 @@
 }
 
 // finish gives a request its one answer. Later ones are dropped.
-func (l *Loop) finish(id balance.RequestID, a answer) {
+func (l *Loop) respond(id balance.RequestID, a clientResponse) {
 	if r := l.requests[id]; r != nil && !r.closed {
 		r.closed = true
-		l.counts.answers[a.kind]++
-		r.answer <- a
-		l.removeIfOver(r)
+		l.statistics.responses[a.result]++
+		r.response <- a
+		l.removeIfClosed(r)
 	}
 }
 
 // hangUp: the client has gone away.
-func (l *Loop) hangUp(r *request) {
+func (l *Loop) clientCanceled(r *request) {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	l.counts.hangUps++
-	l.tell(balance.HangUp{Request: r.id})
+	l.statistics.clientsCanceled++
+	l.dispatch(balance.ClientCanceled{Request: r.id})
 	for _, at := range r.attempts { // one whose connection has yet to come up must not begin, whatever the module may cancel
 		if !at.done && at.call.claim() {
-			l.attemptEnded(at, reply{result: balance.Moot, err: errors.New("the client has gone")})
+			l.attemptEnded(at, upstreamResponse{result: balance.NotSent, err: errors.New("the client has gone")})
 		}
 	}
-	l.removeIfOver(r)
+	l.removeIfClosed(r)
 }
 
-func (l *Loop) removeIfOver(r *request) {
-	if r.closed && r.out == 0 {
+func (l *Loop) removeIfClosed(r *request) {
+	if r.closed && r.inFlight == 0 {
 		l.remove(r)
 	}
 }
 
 func (l *Loop) remove(r *request) {
 	delete(l.requests, r.id)
-	delete(l.traces, r.trace)
+	delete(l.traceIDs, r.traceID)
 }
 
 // send starts an attempt.
-func (l *Loop) send(a *balance.Action) {
+func (l *Loop) startAttempt(a *balance.Action) {
 	r := l.requests[a.Request]
 	if r == nil {
 		l.log.Error("the module sends for a request that is over", "request", a.Request)
@@ -266,68 +266,68 @@
 	}
 	now := l.clock.Now()
 	ctx, cancel := context.WithCancel(l.ctx)
-	c := &call{message: r.message, expires: r.deadline, begin: math.Inf(1)}
-	at := &attempt{r: r, number: len(r.attempts), id: a.Server, to: l.servers[a.Server], call: c, sent: now, cancel: cancel, over: make(chan struct{})}
-	if a.At > 0 {
-		c.expires = math.Min(c.expires, a.At)
+	c := &upstreamCall{request: r.upstreamRequest, deadline: r.deadline, startBefore: math.Inf(1)}
+	at := &attempt{request: r, number: len(r.attempts), endpointID: a.Endpoint, endpoint: l.endpoints[a.Endpoint], call: c, sentAt: now, cancel: cancel, released: make(chan struct{})}
+	if a.Delay > 0 {
+		c.deadline = math.Min(c.deadline, a.Delay)
 	}
 	for _, earlier := range r.attempts { // a keyed request must not go out after its key may be forgotten
-		if r.effect == balance.Keyed && !earlier.clean {
-			c.begin = math.Min(c.begin, earlier.sent+r.window)
+		if r.idempotency == balance.IdempotentWithKey && !earlier.notExecuted {
+			c.startBefore = math.Min(c.startBefore, earlier.sentAt+r.dedupWindow)
 		}
 	}
 	earlier := r.attempts
 	r.attempts = append(r.attempts, at)
-	r.out++
-	if at.to == nil || r.closed {
-		close(at.over)
-		l.later = append(l.later, func() { l.attemptEnded(at, reply{result: balance.Moot}) })
+	r.inFlight++
+	if at.endpoint == nil || r.closed {
+		close(at.released)
+		l.deferred = append(l.deferred, func() { l.attemptEnded(at, upstreamResponse{result: balance.NotSent}) })
 		return
 	}
-	c.to = &at.to.end
-	l.timers.add(timer{due: c.expires, attempt: at})
+	c.endpoint = &at.endpoint.connections
+	l.timers.add(timer{due: c.deadline, attempt: at})
 	go func() {
 		for _, e := range earlier { // one given up stays out until its connection is closed: never two at once
-			<-e.over
+			<-e.released
 		}
-		rep := l.up.send(ctx, c)
-		close(at.over)
-		l.post(func() { l.attemptEnded(at, rep) })
+		rep := l.pool.do(ctx, c)
+		close(at.released)
+		l.enqueue(func() { l.attemptEnded(at, rep) })
 	}()
 }
 
 // attemptEnded reports the first end of an attempt to the module. Others are dropped.
-func (l *Loop) attemptEnded(at *attempt, rep reply) {
+func (l *Loop) attemptEnded(at *attempt, rep upstreamResponse) {
 	if at.done {
 		return
 	}
 	at.done = true
 	at.cancel()
 	if rep.result == balance.TimedOut && at.call.claim() { // its connection never came up
-		rep = reply{result: balance.ConnectFailed, err: errors.New("no connection in time")}
+		rep = upstreamResponse{result: balance.ConnectFailed, err: errors.New("no connection in time")}
 	}
-	r := at.r
-	r.out--
-	at.clean = rep.result.NeverRan()
+	r := at.request
+	r.inFlight--
+	at.notExecuted = rep.result.NotExecuted()
 	if rep.result == balance.OK && !r.closed {
 		r.closed = true
-		l.counts.answers[balance.OK]++
-		r.answer <- answer{kind: balance.OK, reply: rep}
+		l.statistics.responses[balance.OK]++
+		r.response <- clientResponse{result: balance.OK, response: rep}
 	}
-	took := l.clock.Now() - at.sent
-	l.counts.outcomes[rep.result]++
-	if rep.result != balance.OK && rep.result != balance.Cancelled && l.mayLog() {
+	took := l.clock.Now() - at.sentAt
+	l.statistics.attempts[rep.result]++
+	if rep.result != balance.OK && rep.result != balance.Canceled && l.mayLogAttempt() {
 		name := ""
-		if at.to != nil {
-			name = at.to.name
+		if at.endpoint != nil {
+			name = at.endpoint.name
 		}
-		l.log.Info("attempt", "trace", r.trace, "n", at.number, "server", name, "result", rep.result.String(), "took", took, "idle", rep.idle, "err", rep.err)
+		l.log.Info("attempt", "trace", r.traceID, "n", at.number, "server", name, "result", rep.result.String(), "took", took, "idle", rep.connectionIdle, "err", rep.err)
 	}
-	l.tell(balance.Outcome{
-		Request: r.id, Attempt: at.number, Server: at.id, Result: rep.result, Took: took, Finished: r.closed,
-		Report: rep.report,
+	l.dispatch(balance.AttemptResult{
+		Request: r.id, Attempt: at.number, Endpoint: at.endpointID, Result: rep.result, Latency: took, RequestClosed: r.closed,
+		LoadReport: rep.loadReport,
 	})
-	l.removeIfOver(r)
+	l.removeIfClosed(r)
 }
 
 func (l *Loop) cancelAttempt(a *balance.Action) {
@@ -338,23 +338,23 @@
 	at := r.attempts[a.Attempt]
 	at.call.claim()
 	at.cancel()
-	l.later = append(l.later, func() { l.attemptEnded(at, reply{result: balance.Cancelled}) })
+	l.deferred = append(l.deferred, func() { l.attemptEnded(at, upstreamResponse{result: balance.Canceled}) })
 }
 
-func (l *Loop) probe(id balance.ServerID) {
-	s := l.servers[id]
+func (l *Loop) healthCheck(id balance.EndpointID) {
+	s := l.endpoints[id]
 	if s == nil {
-		l.later = append(l.later, func() { l.tell(balance.ProbeResult{Server: id, Result: balance.ConnectFailed}) })
+		l.deferred = append(l.deferred, func() { l.dispatch(balance.HealthCheckResult{Endpoint: id, Result: balance.ConnectFailed}) })
 		return
 	}
 	path, began := "/ping", l.clock.Now()
-	if l.profile.Profile.Config.Reports != balance.ReportNone {
+	if l.config.Profile.Balancer.ReportSource != balance.ReportNone {
 		path = "/_load"
 	}
 	go func() {
-		rep := l.up.probe(l.ctx, &s.end, path)
-		l.post(func() {
-			l.tell(balance.ProbeResult{Server: id, Result: rep.result, Took: l.clock.Now() - began, Report: rep.report})
+		rep := l.pool.healthCheck(l.ctx, &s.connections, path)
+		l.enqueue(func() {
+			l.dispatch(balance.HealthCheckResult{Endpoint: id, Result: rep.result, Latency: l.clock.Now() - began, LoadReport: rep.loadReport})
 		})
 	}()
 }
@@ -366,122 +366,122 @@
 	}
 	ctx, stop := context.WithCancel(l.ctx)
 	l.stopWatch = stop
-	after, disc, began := l.generation, l.disc, l.clock.Now()
-	l.counts.calls++
+	after, disc, began := l.generation, l.discovery, l.clock.Now()
+	l.statistics.discoveryCalls++
 	go func() {
 		answered := false
 		err := disc.watch(ctx, after, within, func(c Catalog) {
 			first := !answered
 			answered = true
 			at := l.clock.Now()
-			l.post(func() {
+			l.enqueue(func() {
 				if ctx.Err() == nil {
 					if first {
-						l.counts.answerTime = at - began
+						l.statistics.discoveryLatency = at - began
 					}
-					l.called(c, nil)
+					l.handleDiscoveryResult(c, nil)
 				}
 			})
 		})
-		l.post(func() {
+		l.enqueue(func() {
 			if ctx.Err() == nil { // not replaced
 				stop()
-				l.called(Catalog{}, err)
+				l.handleDiscoveryResult(Catalog{}, err)
 			}
 		})
 	}()
 }
 
 // Stop has all requests answered within a time, those to come as well.
-func (l *Loop) Stop(within time.Duration) {
-	l.post(func() { l.tell(balance.Stop{Within: float64(within) / float64(time.Millisecond)}) })
+func (l *Loop) Shutdown(within time.Duration) {
+	l.enqueue(func() { l.dispatch(balance.Shutdown{Timeout: float64(within) / float64(time.Millisecond)}) })
 }
 
 // Reload takes in a new configuration. Only discovery's address can change in a running sidecar: a standing watch,
 // or one that is about to be asked for again, moves there at once, since the old address closes soon.
 func (l *Loop) Reload(c *Config) {
-	l.post(func() {
-		l.disc = newDiscovery(c.Discovery)
-		l.tell(balance.ServerList{Kind: balance.ListMoved})
+	l.enqueue(func() {
+		l.discovery = newDiscoveryClient(c.Discovery)
+		l.dispatch(balance.EndpointUpdate{Kind: balance.SourceChanged})
 		l.log.Info("reloaded", "discovery", c.Discovery)
 	})
 }
 
 // called takes in what a call to discovery brought.
-func (l *Loop) called(c Catalog, err error) {
+func (l *Loop) handleDiscoveryResult(c Catalog, err error) {
 	if err == nil && !c.Reset && c.Generation < l.generation { // only the whole list tells whether it starts anew
 		err = fmt.Errorf("generation %d after %d", c.Generation, l.generation)
 		l.generation = 0
 		l.stopWatch()
 	}
 	if err != nil {
-		l.counts.callsFailed++
+		l.statistics.discoveryFailures++
 		l.log.Info("discovery", "err", err)
-		kind := balance.ListFailed
-		if errors.Is(err, errSilent) {
-			kind = balance.ListSilent
+		kind := balance.WatchFailed
+		if errors.Is(err, errStalled) {
+			kind = balance.WatchStalled
 		}
-		l.tell(balance.ServerList{Kind: kind})
+		l.dispatch(balance.EndpointUpdate{Kind: kind})
 		return
 	}
-	kind := balance.ListDelta
+	kind := balance.Delta
 	if c.Reset {
-		kind = balance.ListFull
+		kind = balance.Snapshot
 	}
-	l.list(c, kind)
+	l.applyCatalog(c, kind)
 }
 
 // list takes in news of the servers.
-func (l *Loop) list(c Catalog, kind balance.ListKind) {
+func (l *Loop) applyCatalog(c Catalog, kind balance.UpdateKind) {
 	l.generation = c.Generation
-	listed := map[balance.ServerID]bool{}
-	ev := balance.ServerList{Kind: kind}
+	listed := map[balance.EndpointID]bool{}
+	ev := balance.EndpointUpdate{Kind: kind}
 	for i := range c.Instances {
 		in := &c.Instances[i]
-		id := balance.ServerID(stableHash(in.ID))
+		id := balance.EndpointID(stableHash(in.ID))
 		listed[id] = true
-		entry := balance.Server{
-			ID: id, StartedAt: in.StartedAt, Rating: in.Weight, Cell: in.Cell,
-			Zone: number(&l.profile.Profile.Zones, in.Zone),
-			Kind: number(&l.profile.Profile.Kinds, in.Kind),
+		entry := balance.Endpoint{
+			ID: id, StartedAt: in.StartedAt, NominalCapacity: in.Weight, Cell: in.Cell,
+			Zone:        indexOrAppend(&l.config.Profile.Zones, in.Zone),
+			MachineType: indexOrAppend(&l.config.Profile.MachineTypes, in.MachineType),
 		}
 		switch in.Lifecycle {
 		case "draining":
-			entry.State = balance.Draining
+			entry.Lifecycle = balance.Draining
 		case "removed":
-			entry.State = balance.Gone
+			entry.Lifecycle = balance.Removed
 		}
-		ev.Servers = append(ev.Servers, entry)
-		s := l.servers[id]
-		if s == nil && entry.State == balance.Gone {
+		ev.Endpoints = append(ev.Endpoints, entry)
+		s := l.endpoints[id]
+		if s == nil && entry.Lifecycle == balance.Removed {
 			continue
 		}
 		if s == nil {
-			s = &server{name: in.ID}
-			l.servers[id] = s
+			s = &endpointEntry{name: in.ID}
+			l.endpoints[id] = s
 		}
-		l.up.turn(&s.end, in.HostPort, entry.State != balance.Ready)
-		if entry.State == balance.Gone { // attempts that are out keep what they need
-			delete(l.servers, id)
+		l.pool.updateEndpoint(&s.connections, in.HostPort, entry.Lifecycle != balance.Ready)
+		if entry.Lifecycle == balance.Removed { // attempts that are out keep what they need
+			delete(l.endpoints, id)
 		}
-		if entry.State == balance.Ready {
-			l.healthy.Store(true)
+		if entry.Lifecycle == balance.Ready {
+			l.ready.Store(true)
 		}
 	}
-	if kind != balance.ListDelta { // what the whole list does not name is gone
-		for id, s := range l.servers {
+	if kind != balance.Delta { // what the whole list does not name is gone
+		for id, s := range l.endpoints {
 			if !listed[id] {
-				l.up.turn(&s.end, "", true)
-				delete(l.servers, id)
+				l.pool.updateEndpoint(&s.connections, "", true)
+				delete(l.endpoints, id)
 			}
 		}
 	}
-	l.tell(ev)
+	l.dispatch(ev)
 }
 
 // number is a name's place among the names. One that the settings do not have is no other's: the key of a request may be
 // known in its own zone only.
-func number(names *[]string, name string) int {
+func indexOrAppend(names *[]string, name string) int {
 	i := slices.Index(*names, name)
 	if i < 0 {
 		i = len(*names)
@@ -491,14 +491,14 @@
 }
 
 // fire hands out the timers that are due.
-func (l *Loop) fire() {
+func (l *Loop) fireTimers() {
 	for now := l.clock.Now(); len(l.timers) > 0 && l.timers[0].due <= now; now = l.clock.Now() {
 		t := heap.Pop(&l.timers).(timer)
 		if t.attempt != nil {
-			l.attemptEnded(t.attempt, reply{result: balance.TimedOut})
+			l.attemptEnded(t.attempt, upstreamResponse{result: balance.TimedOut})
 			continue
 		}
-		l.tell(balance.Timer{Token: t.token})
+		l.dispatch(balance.Timer{Token: t.token})
 	}
 }
 
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second // for what must come; no test waits so long when it passes
+const testTimeout = 20 * time.Second // for what must come; no test waits so long when it passes
 
 const testSettings = `{"classes": [
 	{"name": "look", "effect": "read_like", "on_time_ms": 8000, "hard_limit_ms": 10000},
@@ -26,21 +26,21 @@
 	"rules": {"drain_grace_ms": 250}}`
 
 // peer is a server or a discovery on loopback: each request is answered by handle; false ends the connection.
-type peer struct {
+type stubServer struct {
 	addr     string
 	conns    atomic.Int32
 	requests atomic.Int32
 	ended    chan struct{} // a connection's end, as its peer brought it about
 }
 
-func newPeer(t *testing.T, handle func(c net.Conn, req *http.Request, body string) bool) *peer {
+func newStubServer(t *testing.T, handle func(c net.Conn, req *http.Request, body string) bool) *stubServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	p := &peer{addr: ln.Addr().String(), ended: make(chan struct{}, 100)}
+	p := &stubServer{addr: ln.Addr().String(), ended: make(chan struct{}, 100)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -69,19 +69,19 @@
 	return p
 }
 
-func says(text string) func(net.Conn, *http.Request, string) bool {
+func respondWith(text string) func(net.Conn, *http.Request, string) bool {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		io.WriteString(c, text)
 		return true
 	}
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 // silent reads a request and says nothing until the other side goes.
-func silent(c net.Conn, _ *http.Request, _ string) bool { return true }
+func neverRespond(c net.Conn, _ *http.Request, _ string) bool { return true }
 
-func deadAddr(t *testing.T) string {
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,17 +91,17 @@
 	return ln.Addr().String()
 }
 
-func instance(name, addr, lifecycle string) string {
+func instanceJSON(name, addr, lifecycle string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m2","cell":3,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
 		name, addr, lifecycle)
 }
 
-func catalog(generation int, reset bool, instances ...string) string {
+func catalogJSON(generation int, reset bool, instances ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(instances, ","))
 }
 
 // rig is a whole sidecar.
-type rig struct {
+type harness struct {
 	t    *testing.T
 	loop *Loop
 	// lingered ends the time in which the listener stays open after stop.
@@ -111,12 +111,12 @@
 	ended    chan error
 }
 
-func newRig(t *testing.T, discovery, known string, tune ...func(*Server)) *rig {
+func newHarness(t *testing.T, discovery, known string, tune ...func(*Server)) *harness {
 	t.Helper()
-	return newRigWith(t, testSettings, discovery, known, tune...)
+	return newHarnessWithSettings(t, testSettings, discovery, known, tune...)
 }
 
-func newRigWith(t *testing.T, settings, discovery, known string, tune ...func(*Server)) *rig {
+func newHarnessWithSettings(t *testing.T, settings, discovery, known string, tune ...func(*Server)) *harness {
 	t.Helper()
 	cfg, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","known":%s,"settings":%s}`,
 		discovery, known, settings)))
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	r := &rig{lingered: make(chan time.Time, 1), t: t, loop: NewLoop(NewClock(), &cfg, log), addr: ln.Addr().String(), ended: make(chan error, 1)}
+	r := &harness{lingered: make(chan time.Time, 1), t: t, loop: NewLoop(NewClock(), &cfg, log), addr: ln.Addr().String(), ended: make(chan error, 1)}
 	alive, end := context.WithCancel(context.Background())
 	stop, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
@@ -149,39 +149,39 @@
 }
 
 // withServers is a sidecar that knows these servers; discovery is down.
-func withServers(t *testing.T, addrs ...string) *rig {
-	return newRig(t, deadAddr(t), known(addrs...))
+func newHarnessWithEndpoints(t *testing.T, addrs ...string) *harness {
+	return newHarness(t, closedAddress(t), cachedCatalogJSON(addrs...))
 }
 
-func known(addrs ...string) string {
+func cachedCatalogJSON(addrs ...string) string {
 	var list []string
 	for i, addr := range addrs {
-		list = append(list, instance(fmt.Sprint("s-", i), addr, "up"))
+		list = append(list, instanceJSON(fmt.Sprint("s-", i), addr, "up"))
 	}
-	return catalog(1, true, list...)
+	return catalogJSON(1, true, list...)
 }
 
 // open connects to the sidecar as a client.
-func (r *rig) open() (net.Conn, *bufio.Reader) {
+func (r *harness) connect() (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
 // ask sends a request on a connection of its own and reads the answer.
-func (r *rig) ask(request string) (*http.Response, string) {
+func (r *harness) request(request string) (*http.Response, string) {
 	r.t.Helper()
-	c, in := r.open()
+	c, in := r.connect()
 	io.WriteString(c, request)
-	return r.answer(in)
+	return r.readResponse(in)
 }
 
-func (r *rig) answer(in *bufio.Reader) (*http.Response, string) {
+func (r *harness) readResponse(in *bufio.Reader) (*http.Response, string) {
 	r.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -194,37 +194,37 @@
 	return resp, string(body)
 }
 
-func look(trace string) string {
+func lookRequest(trace string) string {
 	return "GET /look?sid=7f HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: look\r\nX-Customer: acme\r\nX-Expires-In: 9000m\r\n\r\n"
 }
 
-func once(trace string) string {
+func onceRequest(trace string) string {
 	return "POST /once HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\nContent-Length: 0\r\n\r\n"
 }
 
 // within runs f in the loop and waits for it.
-func (r *rig) within(f func()) {
+func (r *harness) runInLoop(f func()) {
 	done := make(chan struct{})
-	r.loop.post(func() { f(); close(done) })
-	wait(r.t, done)
+	r.loop.enqueue(func() { f(); close(done) })
+	receive(r.t, done)
 }
 
 // eventually waits for a state that nothing announces.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
 	}
 }
 
-func wait[T any](t *testing.T, c <-chan T) T {
+func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain")
 		panic("not reached")
 	}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -18,46 +18,46 @@
 	"pebblelift/balance"
 )
 
-func testUpstream(t *testing.T, most int) *upstream {
+func newTestPool(t *testing.T, most int) *connectionPool {
 	t.Helper()
 	c, err := ParseConfig([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":` + testSettings + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := newUpstream(NewClock(), &c, most)
-	u.settle = 0
+	u := newConnectionPool(NewClock(), &c, most)
+	u.quietPeriod = 0
 	return u
 }
 
-func (u *upstream) call(e *endpoint) *call {
-	return &call{to: e, message: message{method: "GET", target: "/look"}, expires: u.clock.Now() + 30000, begin: math.Inf(1)}
+func (u *connectionPool) call(e *endpoint) *upstreamCall {
+	return &upstreamCall{endpoint: e, request: upstreamRequest{method: "GET", target: "/look"}, deadline: u.clock.Now() + 30000, startBefore: math.Inf(1)}
 }
 
-func (u *upstream) opened() int {
+func (u *connectionPool) openConnections() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.open
 }
 
 // Rule 2 rests on what an outcome proves: only these ends tell that nothing ran, and only a whole 200 is served.
-func TestOutcomes(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		want   balance.Result
 		reused bool
 	}{
-		"served":              {okAnswer, balance.OK, true},
+		"served":              {okResponse, balance.OK, true},
 		"served in chunks":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.OK, true},
-		"after a 100":         {"HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, balance.OK, true},
+		"after a 100":         {"HTTP/1.1 100 Continue\r\n\r\n" + okResponse, balance.OK, true},
 		"served, then closed": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balance.OK, false},
-		"bytes left over":     {okAnswer + "HTTP", balance.OK, false},
-		"error":               {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balance.Failed, true},
-		"turned away":         {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Full, true},
-		"over already":        {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Full, true},
-		"503 without a word":  {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balance.Failed, true},
-		"500 with the word":   {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Failed, true},
+		"bytes left over":     {okResponse + "HTTP", balance.OK, false},
+		"error":               {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balance.ServerError, true},
+		"turned away":         {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
+		"over already":        {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.Rejected, true},
+		"503 without a word":  {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balance.ServerError, true},
+		"500 with the word":   {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.ServerError, true},
 		"not an answer":       {"\x16\x03\x01nonsense\r\n\r\n", balance.Reset, false},
-		"too large":           {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), balance.Failed, false},
+		"too large":           {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), balance.ServerError, false},
 		"broken off":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", balance.Reset, false},
 		"of unknown length":   {"HTTP/1.1 200 OK\r\n\r\nhi", balance.Reset, false},
 		"no length, reset":    {"HTTP/1.1 200 OK\r\n\r\nhi", balance.Reset, false},
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ends := name == "broken off" || name == "of unknown length" || name == "nothing"
-			p := newPeer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
+			p := newStubServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
 				io.WriteString(conn, c.answer)
 				if name == "no length, reset" { // a reset is no end
 					conn.(*net.TCPConn).SetLinger(0)
@@ -73,9 +73,9 @@
 				}
 				return !ends
 			})
-			u := testUpstream(t, 9)
+			u := newTestPool(t, 9)
 			e := &endpoint{addr: p.addr}
-			r := u.send(context.Background(), u.call(e))
+			r := u.do(context.Background(), u.call(e))
 			if r.result != c.want {
 				t.Fatalf("result %v (%v), want %v", r.result, r.err, c.want)
 			}
@@ -83,19 +83,19 @@
 				t.Errorf("body %q", r.body)
 			}
 			if c.reused {
-				u.send(context.Background(), u.call(e))
+				u.do(context.Background(), u.call(e))
 				if n := p.conns.Load(); n != 1 {
 					t.Errorf("%d connections for two requests", n)
 				}
 			} else {
-				eventually(t, "the connection is closed", func() bool { return u.opened() == 0 })
+				eventually(t, "the connection is closed", func() bool { return u.openConnections() == 0 })
 			}
 		})
 	}
 }
 
 // An answer that does not end is given up, wherever it does not: memory is bounded.
-func TestAnswersWithoutEnd(t *testing.T) {
+func TestUnboundedResponses(t *testing.T) {
 	for name, c := range map[string]struct{ begin, more string }{
 		"in its head":  {"HTTP/1.1 200 OK\r\n", "X-More: " + strings.Repeat("x", 1000) + "\r\n"},
 		"in a line":    {"HTTP/1.1 200 OK\r\nX-More: ", strings.Repeat("x", 1000)},
@@ -103,7 +103,7 @@
 		"behind it":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n", "X-More: " + strings.Repeat("x", 1000) + "\r\n"},
 		"before it":    {"", "HTTP/1.1 100 Continue\r\n\r\n"},
 	} {
-		p := newPeer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
+		p := newStubServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
 			io.WriteString(conn, c.begin)
 			for {
 				if _, err := io.WriteString(conn, c.more); err != nil {
@@ -111,39 +111,41 @@
 				}
 			}
 		})
-		u := testUpstream(t, 9)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		if r := u.send(ctx, u.call(&endpoint{addr: p.addr})); r.result != balance.Reset {
+		u := newTestPool(t, 9)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		if r := u.do(ctx, u.call(&endpoint{addr: p.addr})); r.result != balance.Reset {
 			t.Errorf("%s: result %v (%v)", name, r.result, r.err)
 		}
 		cancel()
-		eventually(t, "the connection is closed", func() bool { return u.opened() == 0 })
+		eventually(t, "the connection is closed", func() bool { return u.openConnections() == 0 })
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
-	u := testUpstream(t, 9)
-	if r := u.send(context.Background(), u.call(&endpoint{addr: deadAddr(t)})); r.result != balance.ConnectFailed {
+func TestRefusedConnectionIsNotExecuted(t *testing.T) {
+	u := newTestPool(t, 9)
+	if r := u.do(context.Background(), u.call(&endpoint{addr: closedAddress(t)})); r.result != balance.ConnectFailed {
 		t.Errorf("result %v", r.result)
 	}
-	if u.opened() != 0 {
+	if u.openConnections() != 0 {
 		t.Error("the place is not given back")
 	}
 }
 
 // A dial takes time: what became too late meanwhile must not leave, and has not run.
-func TestTooLateToBegin(t *testing.T) {
-	for name, spoil := range map[string]func(*upstream, *call){
-		"the grace is over":      func(u *upstream, c *call) { c.to.offSince.Store(math.Float64bits(u.clock.Now() - u.grace)) },
-		"the key's time is over": func(u *upstream, c *call) { c.begin = u.clock.Now() },
-		"the client's is":        func(u *upstream, c *call) { c.expires = u.clock.Now() },
-		"it was given up":        func(u *upstream, c *call) { c.claim() },
+func TestAttemptPastDeadlineIsNotSent(t *testing.T) {
+	for name, spoil := range map[string]func(*connectionPool, *upstreamCall){
+		"the grace is over": func(u *connectionPool, c *upstreamCall) {
+			c.endpoint.unavailableSince.Store(math.Float64bits(u.clock.Now() - u.drainGrace))
+		},
+		"the key's time is over": func(u *connectionPool, c *upstreamCall) { c.startBefore = u.clock.Now() },
+		"the client's is":        func(u *connectionPool, c *upstreamCall) { c.deadline = u.clock.Now() },
+		"it was given up":        func(u *connectionPool, c *upstreamCall) { c.claim() },
 	} {
-		p := newPeer(t, says(okAnswer))
-		u := testUpstream(t, 9)
+		p := newStubServer(t, respondWith(okResponse))
+		u := newTestPool(t, 9)
 		c := u.call(&endpoint{addr: p.addr})
 		spoil(u, c)
-		if r := u.send(context.Background(), c); r.result != balance.Moot {
+		if r := u.do(context.Background(), c); r.result != balance.NotSent {
 			t.Errorf("%s: result %v", name, r.result)
 		}
 		if p.requests.Load() != 0 {
@@ -153,20 +155,20 @@
 }
 
 // Giving an attempt up closes its connection, which is how the server learns of it.
-func TestGivingUpClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	got := make(chan struct{}, 1)
-	p := newPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
-	u := testUpstream(t, 9)
+	p := newStubServer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
+	u := newTestPool(t, 9)
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan reply, 1)
-	go func() { done <- u.send(ctx, u.call(&endpoint{addr: p.addr})) }()
-	wait(t, got)
+	done := make(chan upstreamResponse, 1)
+	go func() { done <- u.do(ctx, u.call(&endpoint{addr: p.addr})) }()
+	receive(t, got)
 	cancel()
-	if r := wait(t, done); r.result != balance.Cancelled {
+	if r := receive(t, done); r.result != balance.Canceled {
 		t.Errorf("result %v", r.result)
 	}
-	wait(t, p.ended)
-	eventually(t, "the place is given back", func() bool { return u.opened() == 0 })
+	receive(t, p.ended)
+	eventually(t, "the place is given back", func() bool { return u.openConnections() == 0 })
 }
 
 // smallBuffers are those of sockets by which a large request is held up in the middle while its peer does not read.
@@ -203,51 +205,51 @@
 }
 
 // An attempt can be given up also while its request is being written.
-func TestGivingUpInTheMiddleOfARequest(t *testing.T) {
+func TestCancelDuringRequestWrite(t *testing.T) {
 	addr, conns := slowReader(t, "")
-	u := testUpstream(t, 9)
+	u := newTestPool(t, 9)
 	u.dialer.Control = smallBuffers
 	ctx, cancel := context.WithCancel(context.Background())
 	c := u.call(&endpoint{addr: addr})
-	c.message = message{method: "POST", target: "/once", body: make([]byte, maxBody)}
-	done := make(chan reply, 1)
-	go func() { done <- u.send(ctx, c) }()
-	wait(t, conns)
+	c.request = upstreamRequest{method: "POST", target: "/once", body: make([]byte, maxBody)}
+	done := make(chan upstreamResponse, 1)
+	go func() { done <- u.do(ctx, c) }()
+	receive(t, conns)
 	cancel()
-	if r := wait(t, done); r.result != balance.ConnectFailed { // its last byte did not leave
+	if r := receive(t, done); r.result != balance.ConnectFailed { // its last byte did not leave
 		t.Errorf("result %v (%v)", r.result, r.err)
 	}
-	eventually(t, "the place is given back", func() bool { return u.opened() == 0 })
+	eventually(t, "the place is given back", func() bool { return u.openConnections() == 0 })
 }
 
 // An attempt given up just as its answer came must not close the connection, which may carry another by now.
-func TestGivingUpSparesTheNextExchange(t *testing.T) {
-	p := newPeer(t, says(okAnswer))
-	u := testUpstream(t, 9)
+func TestCancelSparesNextRoundTrip(t *testing.T) {
+	p := newStubServer(t, respondWith(okResponse))
+	u := newTestPool(t, 9)
 	e := &endpoint{addr: p.addr}
-	x := newExchange("GET")
-	c, err := u.connect(context.Background(), e, x)
+	x := newRoundTrip("GET")
+	c, err := u.acquire(context.Background(), e, x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.park(c, x)
-	u.giveUp(c, x)
-	if r := u.send(context.Background(), u.call(e)); r.result != balance.OK || p.conns.Load() != 1 {
+	u.release(c, x)
+	u.abandon(c, x)
+	if r := u.do(context.Background(), u.call(e)); r.result != balance.OK || p.conns.Load() != 1 {
 		t.Errorf("result %v, %d connections", r.result, p.conns.Load())
 	}
 }
 
 // We close an idle connection before the server does: a request written to one that it closed is lost.
-func TestIdleConnectionsAreClosedByUs(t *testing.T) {
-	p := newPeer(t, says(okAnswer))
-	u := testUpstream(t, 9)
-	if u.idle != 8*time.Second {
-		t.Errorf("idle for %v where the server closes after 10 s", u.idle)
-	}
-	u.idle = 10 * time.Millisecond
-	u.send(context.Background(), u.call(&endpoint{addr: p.addr}))
-	wait(t, p.ended)
-	eventually(t, "the place is given back", func() bool { return u.opened() == 0 })
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	p := newStubServer(t, respondWith(okResponse))
+	u := newTestPool(t, 9)
+	if u.idleTimeout != 8*time.Second {
+		t.Errorf("idle for %v where the server closes after 10 s", u.idleTimeout)
+	}
+	u.idleTimeout = 10 * time.Millisecond
+	u.do(context.Background(), u.call(&endpoint{addr: p.addr}))
+	receive(t, p.ended)
+	eventually(t, "the place is given back", func() bool { return u.openConnections() == 0 })
 }
 
 // deadlineFirst is a connection whose first read sees a deadline.
@@ -266,49 +268,49 @@
 
 // A connection that is taken in the moment in which its idle time ends carries its request all the same: its reader has
 // seen the deadline by then, but not that it is taken.
-func TestTakenAsTheIdleTimeEnds(t *testing.T) {
-	p := newPeer(t, says(okAnswer))
+func TestAcquireAtIdleTimeout(t *testing.T) {
+	p := newStubServer(t, respondWith(okResponse))
 	nc, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	u := testUpstream(t, 9)
-	x := newExchange("GET")
-	x.begun.Store(true)
-	close(x.sent)
-	left := &quota{Reader: &deadlineFirst{Conn: nc}}
-	c := &conn{Conn: nc, to: &endpoint{addr: p.addr}, addr: p.addr, in: bufio.NewReader(left), left: left, x: x}
+	u := newTestPool(t, 9)
+	x := newRoundTrip("GET")
+	x.started.Store(true)
+	close(x.written)
+	left := &limitedReader{Reader: &deadlineFirst{Conn: nc}}
+	c := &conn{Conn: nc, endpoint: &endpoint{addr: p.addr}, addr: p.addr, reader: bufio.NewReader(left), limit: left, exchange: x}
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	go u.read(c)
-	if r := wait(t, x.done); r.result != balance.OK {
+	go u.readLoop(c)
+	if r := receive(t, x.done); r.result != balance.OK {
 		t.Errorf("result %v (%v)", r.result, r.err)
 	}
 }
 
 // A server's close is noticed while the connection is idle, so that no request is written to it.
-func TestAPeersCloseIsNoticedWhileIdle(t *testing.T) {
+func TestRemoteCloseIsNoticedWhileIdle(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	p := newPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-		io.WriteString(c, okAnswer)
+	p := newStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		io.WriteString(c, okResponse)
 		conns <- c
 		return true
 	})
-	u := testUpstream(t, 9)
+	u := newTestPool(t, 9)
 	e := &endpoint{addr: p.addr}
-	u.send(context.Background(), u.call(e))
-	wait(t, conns).Close()
-	eventually(t, "the close is noticed", func() bool { return u.opened() == 0 })
-	if r := u.send(context.Background(), u.call(e)); r.result != balance.OK {
+	u.do(context.Background(), u.call(e))
+	receive(t, conns).Close()
+	eventually(t, "the close is noticed", func() bool { return u.openConnections() == 0 })
+	if r := u.do(context.Background(), u.call(e)); r.result != balance.OK {
 		t.Errorf("result %v", r.result)
 	}
 }
 
 // A server that forgets idle connections and resets what is written to them costs two requests, not each one.
-func TestAServerThatForgetsIdleConnections(t *testing.T) {
+func TestKeepAliveLimitIsLearned(t *testing.T) {
 	served := map[net.Conn]bool{}
 	var mu sync.Mutex
-	p := newPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+	p := newStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if served[c] {
@@ -316,21 +318,21 @@
 			return false
 		}
 		served[c] = true
-		io.WriteString(c, okAnswer)
+		io.WriteString(c, okResponse)
 		return true
 	})
-	u := testUpstream(t, 9)
+	u := newTestPool(t, 9)
 	e := &endpoint{addr: p.addr}
 	lost := 0
 	for range 10 {
-		if r := u.send(context.Background(), u.call(e)); r.result == balance.Reset {
+		if r := u.do(context.Background(), u.call(e)); r.result == balance.Reset {
 			lost++
 		} else if r.result != balance.OK {
 			t.Fatalf("result %v (%v)", r.result, r.err)
 		}
 		u.mu.Lock()
 		for _, c := range e.idle {
-			c.last = c.last.Add(-time.Second)
+			c.idleSince = c.idleSince.Add(-time.Second)
 		}
 		u.mu.Unlock()
 	}
@@ -340,138 +342,138 @@
 }
 
 // Connections that are lost by chance show no limit, and a limit is tried anew some time later.
-func TestLostByChance(t *testing.T) {
+func TestSingleLossTeachesNothing(t *testing.T) {
 	const settings, ms = 8 * time.Second, time.Millisecond
-	var k keeping
+	var k keepAliveEstimator
 	for range 5 { // a longer idle one works in between, or they were hardly idle
-		k.lost(100 * ms)
-		k.worked(150 * ms)
-		k.lost(leastIdle / 2)
-		k.lost(leastIdle / 2)
+		k.recordLost(100 * ms)
+		k.recordReused(150 * ms)
+		k.recordLost(minLearnedIdle / 2)
+		k.recordLost(minLearnedIdle / 2)
 	}
-	if got := k.most(settings); got != settings {
+	if got := k.idleLimit(settings); got != settings {
 		t.Errorf("by chance: %v", got)
 	}
-	k.lost(200 * ms)
-	k.worked(50 * ms)
-	k.lost(150 * ms)
-	if got := k.most(settings); got >= 150*ms || got < 50*ms {
+	k.recordLost(200 * ms)
+	k.recordReused(50 * ms)
+	k.recordLost(150 * ms)
+	if got := k.idleLimit(settings); got >= 150*ms || got < 50*ms {
 		t.Errorf("two at 150 and 200 ms: %v", got)
 	}
-	k.since = k.since.Add(-relearn)
-	if got := k.most(settings); got != settings {
+	k.learnedAt = k.learnedAt.Add(-relearnInterval)
+	if got := k.idleLimit(settings); got != settings {
 		t.Errorf("later: %v", got)
 	}
 }
 
 // A server that answers before it has the whole request gets no other on that connection, which would begin in the middle
 // of the first one's body, and its answer is not taken for one to a request that it does not have.
-func TestAnAnswerBeforeTheRequestIsSent(t *testing.T) {
-	addr, conns := slowReader(t, okAnswer)
-	u := testUpstream(t, 9)
-	u.dialer.Control, u.idle = smallBuffers, time.Hour
+func TestResponseBeforeRequestIsWritten(t *testing.T) {
+	addr, conns := slowReader(t, okResponse)
+	u := newTestPool(t, 9)
+	u.dialer.Control, u.idleTimeout = smallBuffers, time.Hour
 	e := &endpoint{addr: addr}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	first := u.call(e)
-	first.message = message{method: "POST", target: "/once", body: make([]byte, maxBody)}
-	if r := u.send(ctx, first); r.result == balance.OK || ctx.Err() != nil {
+	first.request = upstreamRequest{method: "POST", target: "/once", body: make([]byte, maxBody)}
+	if r := u.do(ctx, first); r.result == balance.OK || ctx.Err() != nil {
 		t.Errorf("result %v (%v)", r.result, r.err)
 	}
-	if r := u.send(ctx, u.call(e)); r.result != balance.OK {
+	if r := u.do(ctx, u.call(e)); r.result != balance.OK {
 		t.Errorf("the next one: %v (%v)", r.result, r.err)
 	}
-	wait(t, conns)
-	wait(t, conns) // each had its own
+	receive(t, conns)
+	receive(t, conns) // each had its own
 }
 
 // A second answer that comes some milliseconds behind the first one must find no request on its connection: it would be
 // taken for the answer to that. Another idle connection is used meanwhile, or one is opened.
-func TestASecondAnswer(t *testing.T) {
+func TestSecondResponse(t *testing.T) {
 	again := make(chan net.Conn, 9)
-	p := newPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
+	p := newStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"+req.URL.Query().Get("n"))
 		again <- c
 		return true
 	})
-	u := testUpstream(t, 9)
-	u.settle = time.Hour
+	u := newTestPool(t, 9)
+	u.quietPeriod = time.Hour
 	e := &endpoint{addr: p.addr}
 	for _, n := range []string{"1", "2"} {
 		c := u.call(e)
-		c.message.target += "?n=" + n
-		if r := u.send(context.Background(), c); r.result != balance.OK || string(r.body) != n {
+		c.request.target += "?n=" + n
+		if r := u.do(context.Background(), c); r.result != balance.OK || string(r.body) != n {
 			t.Fatalf("request %s: %v, %q", n, r.result, r.body)
 		}
 	}
-	first := wait(t, again)
-	io.WriteString(first, okAnswer)
-	wait(t, p.ended) // its connection is closed
+	first := receive(t, again)
+	io.WriteString(first, okResponse)
+	receive(t, p.ended) // its connection is closed
 	u.mu.Lock()
 	if len(e.idle) != 1 {
 		t.Fatalf("%d idle connections", len(e.idle))
 	}
-	e.idle[0].last = e.idle[0].last.Add(-2 * u.settle) // the other one has settled
-	u.idle = 3 * u.settle
+	e.idle[0].idleSince = e.idle[0].idleSince.Add(-2 * u.quietPeriod) // the other one has settled
+	u.idleTimeout = 3 * u.quietPeriod
 	u.mu.Unlock()
 	c := u.call(e)
-	c.message.target += "?n=3"
-	if r := u.send(context.Background(), c); string(r.body) != "3" || r.idle < u.settle || p.conns.Load() != 2 {
-		t.Errorf("%v, %q, idle for %v, %d connections", r.result, r.body, r.idle, p.conns.Load())
+	c.request.target += "?n=3"
+	if r := u.do(context.Background(), c); string(r.body) != "3" || r.connectionIdle < u.quietPeriod || p.conns.Load() != 2 {
+		t.Errorf("%v, %q, idle for %v, %d connections", r.result, r.body, r.connectionIdle, p.conns.Load())
 	}
 }
 
-func TestTheNewestConnectionIsUsedFirst(t *testing.T) {
-	p := newPeer(t, says(okAnswer))
-	u := testUpstream(t, 9)
+func TestMostRecentConnectionIsReusedFirst(t *testing.T) {
+	p := newStubServer(t, respondWith(okResponse))
+	u := newTestPool(t, 9)
 	e := &endpoint{addr: p.addr}
 	var conns []*conn
-	var xs []*exchange
+	var xs []*roundTrip
 	for range 2 {
-		x := newExchange("GET")
-		c, err := u.connect(context.Background(), e, x)
+		x := newRoundTrip("GET")
+		c, err := u.acquire(context.Background(), e, x)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns, xs = append(conns, c), append(xs, x)
 	}
-	u.park(conns[0], xs[0])
-	u.park(conns[1], xs[1])
-	if c, _ := u.connect(context.Background(), e, xs[0]); c != conns[1] {
+	u.release(conns[0], xs[0])
+	u.release(conns[1], xs[1])
+	if c, _ := u.acquire(context.Background(), e, xs[0]); c != conns[1] {
 		t.Error("not the newest")
 	}
 }
 
 // At the bound on sockets an attempt is a failed connect, unless another server's idle connection can make room.
-func TestTheBoundOnConnections(t *testing.T) {
+func TestMaxConnections(t *testing.T) {
 	got := make(chan struct{}, 1)
-	busy := newPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
-	p := newPeer(t, says(okAnswer))
-	u := testUpstream(t, 1)
+	busy := newStubServer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
+	p := newStubServer(t, respondWith(okResponse))
+	u := newTestPool(t, 1)
 	first, second := &endpoint{addr: p.addr}, &endpoint{addr: busy.addr}
-	u.send(context.Background(), u.call(first))
+	u.do(context.Background(), u.call(first))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	done := make(chan reply, 1)
-	go func() { done <- u.send(ctx, u.call(second)) }()
-	wait(t, got)     // it took the place ...
-	wait(t, p.ended) // ... of the idle one
-	if r := u.send(context.Background(), u.call(first)); r.result != balance.ConnectFailed {
+	done := make(chan upstreamResponse, 1)
+	go func() { done <- u.do(ctx, u.call(second)) }()
+	receive(t, got)     // it took the place ...
+	receive(t, p.ended) // ... of the idle one
+	if r := u.do(context.Background(), u.call(first)); r.result != balance.ConnectFailed {
 		t.Errorf("result %v", r.result)
 	}
 	cancel()
-	wait(t, done)
-	eventually(t, "the count is right again", func() bool { return u.opened() == 0 })
+	receive(t, done)
+	eventually(t, "the count is right again", func() bool { return u.openConnections() == 0 })
 }
 
 func TestParseReport(t *testing.T) {
 	fields := []string{"busy", "rate", "q"}
-	r := parseReport("TEXT rate=12.5, new=3, busy=0.61, q=", fields)
+	r := parseLoadReport("TEXT rate=12.5, new=3, busy=0.61, q=", fields)
 	if len(r) != 3 || r[0] != 0.61 || r[1] != 12.5 || r[2] == r[2] {
 		t.Errorf("%v", r)
 	}
 	for _, none := range []string{"", "TEXT", "TEXT other=1", "busy", "=", "busy=x"} {
-		if r := parseReport(none, fields); r != nil {
+		if r := parseLoadReport(none, fields); r != nil {
 			t.Errorf("%q: %v", none, r)
 		}
 	}
@@ -479,33 +481,33 @@
 
 // A server that moves is met at its new address, and its old connections are closed. One that drains gets nothing new,
 // so its idle connections are of no use either.
-func TestAServerThatMoves(t *testing.T) {
-	first, second := newPeer(t, says(okAnswer)), newPeer(t, says(okAnswer))
-	u := testUpstream(t, 9)
+func TestEndpointAddressChange(t *testing.T) {
+	first, second := newStubServer(t, respondWith(okResponse)), newStubServer(t, respondWith(okResponse))
+	u := newTestPool(t, 9)
 	e := &endpoint{}
-	u.turn(e, first.addr, false)
-	u.send(context.Background(), u.call(e))
-	u.turn(e, second.addr, false)
-	wait(t, first.ended)
-	if r := u.send(context.Background(), u.call(e)); r.result != balance.OK || second.requests.Load() != 1 {
+	u.updateEndpoint(e, first.addr, false)
+	u.do(context.Background(), u.call(e))
+	u.updateEndpoint(e, second.addr, false)
+	receive(t, first.ended)
+	if r := u.do(context.Background(), u.call(e)); r.result != balance.OK || second.requests.Load() != 1 {
 		t.Errorf("result %v, %d requests", r.result, second.requests.Load())
 	}
-	u.turn(e, "", true)
-	wait(t, second.ended)
-	eventually(t, "all are closed", func() bool { return u.opened() == 0 })
+	u.updateEndpoint(e, "", true)
+	receive(t, second.ended)
+	eventually(t, "all are closed", func() bool { return u.openConnections() == 0 })
 }
 
 // Probes are requests of their own; the report is the body or the header.
-func TestProbe(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	paths := make(chan string, 1)
-	p := newPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
+	p := newStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		paths <- req.RequestURI
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nTEXT busy=0.25")
 		return true
 	})
-	u := testUpstream(t, 9)
-	r := u.probe(context.Background(), &endpoint{addr: p.addr}, "/_load")
-	if path := wait(t, paths); path != "/_load" || r.result != balance.OK || len(r.report) != 2 || r.report[0] != 0.25 {
+	u := newTestPool(t, 9)
+	r := u.healthCheck(context.Background(), &endpoint{addr: p.addr}, "/_load")
+	if path := receive(t, paths); path != "/_load" || r.result != balance.OK || len(r.loadReport) != 2 || r.loadReport[0] != 0.25 {
 		t.Errorf("%s: %+v", path, r)
 	}
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -15,17 +15,17 @@
 
 // Event codes.
 const (
-	codeSheet   = 1000
-	codeAsk     = 1010
-	codeAlarm   = 1020
-	codeStarted = 1030
-	codeList    = 1040
-	codeHeard   = 1050
-	codeDown    = 1060
-	codeBegin   = 1070
-	codeProbed  = 1080
-	codeEnded   = 1090
-	codeHangup  = 1100
+	codeEndpointTable     = 1000
+	codeRequest           = 1010
+	codeTimer             = 1020
+	codeResponseStarted   = 1030
+	codeEndpointUpdate    = 1040
+	codeGossip            = 1050
+	codeInstanceDown      = 1060
+	codeInstanceStart     = 1070
+	codeHealthCheckResult = 1080
+	codeAttemptResult     = 1090
+	codeClientCanceled    = 1100
 )
 
 const (
@@ -36,18 +36,18 @@
 )
 
 var results = map[uint16]balance.Result{
-	0: balance.OK, 13: balance.Failed, 8: balance.Full, 4: balance.TimedOut,
-	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.Moot,
+	0: balance.OK, 13: balance.ServerError, 8: balance.Rejected, 4: balance.TimedOut,
+	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Canceled, 9: balance.NotSent,
 }
 
 // Begin starts an instance; Settings is the raw profile for ParseSettings.
-type Begin struct {
+type InstanceStart struct {
 	Seed     uint64
 	Settings []byte
 }
 
 // Down says that an instance was killed.
-type Down struct{}
+type InstanceDown struct{}
 
 // Record is one event for one instance: a Begin, a Down or a balance.Event.
 type Record struct {
@@ -57,11 +57,11 @@
 
 // Reader reads frames. Server tables live across frames.
 type Reader struct {
-	in     io.Reader
-	buf    bytes.Buffer
-	tables [maxTables][]balance.Server
-	known  [maxTables]bool
-	report []float32
+	in       io.Reader
+	buf      bytes.Buffer
+	tables   [maxTables][]balance.Endpoint
+	hasTable [maxTables]bool
+	report   []float32
 }
 
 // NewReader returns a reader of the frames of in, which should be buffered.
@@ -92,7 +92,7 @@
 	if n, err := io.CopyN(&r.buf, r.in, int64(size-headerSize)); err != nil {
 		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
 	}
-	f := fields{data: r.buf.Bytes()}
+	f := recordReader{data: r.buf.Bytes()}
 	for i := uint32(0); i < count; i++ {
 		at := f.pos
 		rec, err := r.record(&f)
@@ -112,45 +112,45 @@
 	return nil
 }
 
-func (r *Reader) record(f *fields) (Record, error) {
+func (r *Reader) record(f *recordReader) (Record, error) {
 	code, first := f.u16(), f.u16()
-	if f.bad {
-		return Record{}, errShort
+	if f.truncated {
+		return Record{}, errTruncated
 	}
 	rec := Record{Instance: first}
 	var err error
 	switch code {
-	case codeSheet:
-		err = r.sheet(f, first)
-	case codeBegin:
+	case codeEndpointTable:
+		err = r.endpointTable(f, first)
+	case codeInstanceStart:
 		seed := f.u64()
-		rec.Event = Begin{Seed: seed, Settings: f.bytes(f.u32())}
-	case codeDown:
-		rec.Event = Down{}
-	case codeList:
-		rec.Event, err = r.list(f)
-	case codeAsk:
-		rec.Event = ask(f)
-	case codeAlarm:
+		rec.Event = InstanceStart{Seed: seed, Settings: f.bytes(f.u32())}
+	case codeInstanceDown:
+		rec.Event = InstanceDown{}
+	case codeEndpointUpdate:
+		rec.Event, err = r.endpointUpdate(f)
+	case codeRequest:
+		rec.Event = request(f)
+	case codeTimer:
 		rec.Event = balance.Timer{Token: f.u64()}
-	case codeStarted:
-		ev := balance.Started{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
-		ev.Took = f.f64()
+	case codeResponseStarted:
+		ev := balance.ResponseStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Endpoint: f.endpointID()}
+		ev.Latency = f.f64()
 		rec.Event = ev
-	case codeEnded:
-		rec.Event, err = r.ended(f)
-	case codeHangup:
-		rec.Event = balance.HangUp{Request: balance.RequestID(f.u64())}
-	case codeProbed:
-		rec.Event, err = r.probed(f)
-	case codeHeard:
+	case codeAttemptResult:
+		rec.Event, err = r.attemptResult(f)
+	case codeClientCanceled:
+		rec.Event = balance.ClientCanceled{Request: balance.RequestID(f.u64())}
+	case codeHealthCheckResult:
+		rec.Event, err = r.healthCheckResult(f)
+	case codeGossip:
 		from := int(f.u16())
-		rec.Event = balance.Message{From: from, Data: f.bytes(uint32(f.u16()))}
+		rec.Event = balance.GossipMessage{Sender: from, Data: f.bytes(uint32(f.u16()))}
 	default:
 		return rec, fmt.Errorf("unknown event code %d", code)
 	}
-	if err == nil && f.bad {
-		err = errShort
+	if err == nil && f.truncated {
+		err = errTruncated
 	}
 	if err != nil {
 		return rec, fmt.Errorf("event code %d: %w", code, err)
@@ -158,101 +158,101 @@
 	return rec, nil
 }
 
-func (r *Reader) sheet(f *fields, table uint16) error {
+func (r *Reader) endpointTable(f *recordReader, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
 	}
 	n := f.u32()
 	if uint64(n)*entrySize > uint64(len(f.data)-f.pos) {
-		return fmt.Errorf("%d entries: %w", n, errShort)
+		return fmt.Errorf("%d entries: %w", n, errTruncated)
 	}
-	list := make([]balance.Server, n)
+	list := make([]balance.Endpoint, n)
 	for i := range list {
 		s := &list[i]
 		s.StartedAt = f.f64()
 		switch state := f.u8(); state {
 		case 0:
-			s.State = balance.Ready
+			s.Lifecycle = balance.Ready
 		case 2:
-			s.State = balance.Draining
+			s.Lifecycle = balance.Draining
 		case 1:
-			s.State = balance.Gone
+			s.Lifecycle = balance.Removed
 		default:
 			return fmt.Errorf("entry %d: unknown condition %d", i, state)
 		}
-		s.ID = f.server()
-		s.Rating = float64(f.f32())
-		s.Cell, s.Zone, s.Kind = int(f.u16()), int(f.u8()), int(f.u8())
+		s.ID = f.endpointID()
+		s.NominalCapacity = float64(f.f32())
+		s.Cell, s.Zone, s.MachineType = int(f.u16()), int(f.u8()), int(f.u8())
 	}
-	r.tables[table], r.known[table] = list, true
+	r.tables[table], r.hasTable[table] = list, true
 	return nil
 }
 
-func (r *Reader) list(f *fields) (any, error) {
+func (r *Reader) endpointUpdate(f *recordReader) (any, error) {
 	how, _, table := f.u8(), f.u32(), f.u16()
-	if f.bad {
-		return nil, errShort
+	if f.truncated {
+		return nil, errTruncated
 	}
-	ev := balance.ServerList{}
+	ev := balance.EndpointUpdate{}
 	switch how {
 	case 0:
-		ev.Kind = balance.ListFull
+		ev.Kind = balance.Snapshot
 	case 1:
-		ev.Kind = balance.ListCached
+		ev.Kind = balance.CachedSnapshot
 	case 3:
-		ev.Kind = balance.ListDelta
+		ev.Kind = balance.Delta
 	case 2:
-		return balance.ServerList{Kind: balance.ListFailed}, nil
+		return balance.EndpointUpdate{Kind: balance.WatchFailed}, nil
 	default:
 		return nil, fmt.Errorf("unknown list kind %d", how)
 	}
-	if table >= maxTables || !r.known[table] {
+	if table >= maxTables || !r.hasTable[table] {
 		return nil, fmt.Errorf("server table %d was never sent", table)
 	}
-	ev.Servers = r.tables[table]
+	ev.Endpoints = r.tables[table]
 	return ev, nil
 }
 
-func ask(f *fields) balance.Request {
+func request(f *recordReader) balance.Request {
 	ev := balance.Request{ID: balance.RequestID(f.u64()), Tenant: int(f.u16())}
 	hint, bits := f.f64(), f.u16()
 	if bits&1 != 0 {
 		ev.WorkHint = hint
 	}
-	ev.Repeat, ev.Write = bits&2 != 0, bits&4 != 0
-	ev.Key, ev.Remaining = f.u64(), f.f64()
+	ev.IsRetry, ev.Mutates = bits&2 != 0, bits&4 != 0
+	ev.AffinityKey, ev.Timeout = f.u64(), f.f64()
 	ev.Class = int(f.u16())
 	return ev
 }
 
-func (r *Reader) ended(f *fields) (any, error) {
-	ev := balance.Outcome{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
+func (r *Reader) attemptResult(f *recordReader) (any, error) {
+	ev := balance.AttemptResult{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Endpoint: f.endpointID()}
 	code := f.u16()
-	ev.Took, ev.Finished = f.f64(), f.u8() != 0
-	ev.Report = r.floats(f)
+	ev.Latency, ev.RequestClosed = f.f64(), f.u8() != 0
+	ev.LoadReport = r.floats(f)
 	var err error
-	ev.Result, err = result(code, f)
+	ev.Result, err = attemptOutcome(code, f)
 	return ev, err
 }
 
-func (r *Reader) probed(f *fields) (any, error) {
-	ev := balance.ProbeResult{Took: f.f64()}
+func (r *Reader) healthCheckResult(f *recordReader) (any, error) {
+	ev := balance.HealthCheckResult{Latency: f.f64()}
 	code := f.u16()
-	ev.Server, ev.Report = f.server(), r.floats(f)
+	ev.Endpoint, ev.LoadReport = f.endpointID(), r.floats(f)
 	var err error
-	ev.Result, err = result(code, f)
+	ev.Result, err = attemptOutcome(code, f)
 	return ev, err
 }
 
-func result(code uint16, f *fields) (balance.Result, error) {
+func attemptOutcome(code uint16, f *recordReader) (balance.Result, error) {
 	res, ok := results[code]
-	if !ok && !f.bad {
+	if !ok && !f.truncated {
 		return 0, fmt.Errorf("unknown result %d", code)
 	}
 	return res, nil
 }
 
-func (r *Reader) floats(f *fields) []float32 {
+func (r *Reader) floats(f *recordReader) []float32 {
 	r.report = r.report[:0]
 	for n := f.u8(); n > 0; n-- {
 		r.report = append(r.report, f.f32())
@@ -260,46 +260,46 @@
 	return r.report
 }
 
-var errShort = errors.New("record runs past the end of the frame")
+var errTruncated = errors.New("record runs past the end of the frame")
 
 // fields takes values off a frame. A read past the end sets bad and gives zero.
-type fields struct {
-	data []byte
-	pos  int
-	bad  bool
+type recordReader struct {
+	data      []byte
+	pos       int
+	truncated bool
 }
 
-func (f *fields) bytes(n uint32) []byte {
+func (f *recordReader) bytes(n uint32) []byte {
 	if uint64(n) > uint64(len(f.data)-f.pos) {
-		f.bad, f.pos = true, len(f.data)
+		f.truncated, f.pos = true, len(f.data)
 		return nil
 	}
 	f.pos += int(n)
 	return f.data[f.pos-int(n) : f.pos : f.pos]
 }
 
-func (f *fields) u8() uint8 {
+func (f *recordReader) u8() uint8 {
 	if b := f.bytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (f *fields) u16() uint16 {
+func (f *recordReader) u16() uint16 {
 	if b := f.bytes(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (f *fields) u32() uint32 {
+func (f *recordReader) u32() uint32 {
 	if b := f.bytes(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (f *fields) u64() uint64 {
+func (f *recordReader) u64() uint64 {
 	if b := f.bytes(8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
@@ -307,7 +307,7 @@
 }
 
 // f64 reads a number; what is no finite number counts as absent.
-func (f *fields) f64() float64 {
+func (f *recordReader) f64() float64 {
 	v := math.Float64frombits(f.u64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
@@ -315,7 +315,7 @@
 	return v
 }
 
-func (f *fields) f32() float32 {
+func (f *recordReader) f32() float32 {
 	v := math.Float32frombits(f.u32())
 	if v != v || math.IsInf(float64(v), 0) {
 		return 0
@@ -324,7 +324,7 @@
 }
 
 // server packs four bytes of address and a port into an ID.
-func (f *fields) server() balance.ServerID {
+func (f *recordReader) endpointID() balance.EndpointID {
 	host := f.u32()
-	return balance.ServerID(uint64(host)<<16 | uint64(f.u16()))
+	return balance.EndpointID(uint64(host)<<16 | uint64(f.u16()))
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,21 +10,21 @@
 
 // Action codes.
 const (
-	codeSend    = 1000
-	codeRefuse  = 1010
-	codeFail    = 1020
-	codeCancel  = 1030
-	codeTimer   = 1040
-	codeProbe   = 1050
-	codeClose   = 1060
-	codePost    = 1070
-	codeTrace   = 1080
-	codeFault   = 1090
-	codeWatch   = 1100
-	codeFetch   = 1110
-	everyPeer   = 0xffffffff
-	maxText     = 0xffff
-	replyHeader = 4
+	codeStartAttempt  = 1000
+	codeReject        = 1010
+	codeFail          = 1020
+	codeCancelAttempt = 1030
+	codeSetTimer      = 1040
+	codeHealthCheck   = 1050
+	codeCloseIdle     = 1060
+	codeSendGossip    = 1070
+	codeLog           = 1080
+	codeFault         = 1090
+	codeWatch         = 1100
+	codeFetch         = 1110
+	broadcastPeer     = 0xffffffff
+	maxText           = 0xffff
+	replyHeader       = 4
 )
 
 // Reply gathers the actions that answer one frame.
@@ -49,58 +49,58 @@
 
 // Fault reports that an instance's decision code broke.
 func (r *Reply) Fault(instance uint16, text string) {
-	r.head(codeFault, instance)
+	r.header(codeFault, instance)
 	r.text([]byte(text))
 }
 
 func (r *Reply) add(instance uint16, a *balance.Action) {
 	switch a.Kind {
-	case balance.Send:
-		r.head(codeSend, instance)
+	case balance.StartAttempt:
+		r.header(codeStartAttempt, instance)
 		r.u64(uint64(a.Request))
-		r.f64(a.At)
-		r.server(a.Server)
-	case balance.Refuse:
-		r.head(codeRefuse, instance)
+		r.f64(a.Delay)
+		r.endpointID(a.Endpoint)
+	case balance.Reject:
+		r.header(codeReject, instance)
 		r.u64(uint64(a.Request))
-		r.f64(a.At)
+		r.f64(a.Delay)
 	case balance.Fail:
-		r.head(codeFail, instance)
+		r.header(codeFail, instance)
 		r.u64(uint64(a.Request))
-	case balance.Cancel:
-		r.head(codeCancel, instance)
+	case balance.CancelAttempt:
+		r.header(codeCancelAttempt, instance)
 		r.u64(uint64(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
 	case balance.SetTimer:
-		r.head(codeTimer, instance)
+		r.header(codeSetTimer, instance)
 		r.u64(a.Token)
-		r.f64(a.At)
-	case balance.Probe:
-		r.head(codeProbe, instance)
-		r.server(a.Server)
+		r.f64(a.Delay)
+	case balance.HealthCheck:
+		r.header(codeHealthCheck, instance)
+		r.endpointID(a.Endpoint)
 	case balance.CloseIdle:
-		r.head(codeClose, instance)
-		r.server(a.Server)
-	case balance.Post:
-		r.head(codePost, instance)
-		peer := uint32(everyPeer)
+		r.header(codeCloseIdle, instance)
+		r.endpointID(a.Endpoint)
+	case balance.SendGossip:
+		r.header(codeSendGossip, instance)
+		peer := uint32(broadcastPeer)
 		if a.Peer >= 0 {
 			peer = uint32(a.Peer)
 		}
 		r.buf = binary.BigEndian.AppendUint32(r.buf, peer)
 		r.text(a.Data)
 	case balance.Log:
-		r.head(codeTrace, instance)
+		r.header(codeLog, instance)
 		r.text([]byte(a.Text))
 	case balance.Watch:
-		r.head(codeWatch, instance)
+		r.header(codeWatch, instance)
 		r.buf = append(r.buf, 1)
 	case balance.Fetch:
-		r.head(codeFetch, instance)
+		r.header(codeFetch, instance)
 	}
 }
 
-func (r *Reply) head(code, instance uint16) {
+func (r *Reply) header(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
 }
@@ -108,7 +108,7 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-func (r *Reply) server(id balance.ServerID) {
+func (r *Reply) endpointID(id balance.EndpointID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -52,7 +52,7 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-func TestDecodesTheProtocolsExamples(t *testing.T) {
+func TestReaderDecodesDocumentedExamples(t *testing.T) {
 	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
 	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
@@ -62,40 +62,40 @@
 		t.Fatalf("clock %v, %d records", clock, len(recs))
 	}
 	ask, ok := recs[0].Event.(balance.Request)
-	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, Key: 0x91f03b7c55d20a64, Remaining: 240}
+	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, AffinityKey: 0x91f03b7c55d20a64, Timeout: 240}
 	if !ok || ask != want || recs[0].Instance != 3 {
 		t.Errorf("ask: %+v", recs[0])
 	}
 	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
 		t.Errorf("alarm: %+v", ev)
 	}
-	if ev := recs[2].Event; ev != any(balance.HangUp{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
+	if ev := recs[2].Event; ev != any(balance.ClientCanceled{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
 		t.Errorf("hangup: %+v", recs[2])
 	}
-	list := recs[3].Event.(balance.ServerList)
-	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
+	list := recs[3].Event.(balance.EndpointUpdate)
+	if list.Kind != balance.CachedSnapshot || len(list.Endpoints) != 2 {
 		t.Fatalf("list: %+v", list)
 	}
-	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, Rating: 1.5, Zone: 1}
-	if list.Servers[0].ID != 0x0a124a07232b || list.Servers[1] != second {
-		t.Errorf("entries: %+v", list.Servers)
+	second := balance.Endpoint{ID: 0x0a9011f22354, StartedAt: 6100, NominalCapacity: 1.5, Zone: 1}
+	if list.Endpoints[0].ID != 0x0a124a07232b || list.Endpoints[1] != second {
+		t.Errorf("entries: %+v", list.Endpoints)
 	}
-	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Took != 18.5 ||
-		!ended.Finished || ended.Result != balance.OK {
+	ended := recs[4].Event.(balance.AttemptResult)
+	if ended.Request != 0x2978f5d3a91c4 || ended.Endpoint != 0x0a124a07232b || ended.Latency != 18.5 ||
+		!ended.RequestClosed || ended.Result != balance.OK {
 		t.Errorf("ended: %+v", ended)
 	}
 }
 
-func TestEncodesTheProtocolsExamples(t *testing.T) {
+func TestReplyEncodesDocumentedExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
-		{Kind: balance.Send, Request: 0x2978f5d3a91c4, At: 8492, Server: 0x0a124a07232b},
-		{Kind: balance.SetTimer, Token: 77, At: 500},
+		{Kind: balance.StartAttempt, Request: 0x2978f5d3a91c4, Delay: 8492, Endpoint: 0x0a124a07232b},
+		{Kind: balance.SetTimer, Token: 77, Delay: 500},
 	})
 	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
-	r.Add(3, []balance.Action{{Kind: balance.Post, Peer: -1, Data: []byte("hi 7")}})
+	r.Add(3, []balance.Action{{Kind: balance.SendGossip, Peer: -1, Data: []byte("hi 7")}})
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestMalformedFramesAreErrors(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
 		"header cut short":     "00000000 0000",
 		"length under header":  "00000000 0000000f 40c06e2000000000",
