--- /dev/null
+++ b/balance/concurrency_test.go
@@ -0,0 +1,292 @@
+package balance
+
+import "testing"
+
+// newPeers returns sidecar 0 and sidecar 1 of a fleet that gossips.
+func newPeers(t *testing.T, endpoints []Endpoint) (h, peer *harness) {
+	t.Helper()
+	h = newHarness(t, gossipConfig(0), endpoints...)
+	peer = newHarness(t, gossipConfig(1), endpoints...)
+	return h, peer
+}
+
+// Incident: each sidecar took endpoints that others filled for empty, until they choked. Requests of a peer
+// count until the peer takes them back, or until its gossip expires.
+func TestEndpointsFilledByPeersAreSkipped(t *testing.T) {
+	for _, expired := range []bool{false, true} {
+		h, peer := newPeers(t, newEndpoints(8))
+		full := h.b.endpoints[0]
+		peer.b.endpoints[0].inFlight = 10
+		h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
+		if expired {
+			h.now += gossipExpiry + 1
+			h.sentGossip()
+		}
+		hits := 0
+		for range 32 {
+			id, actions := h.request(nonIdempotentClass)
+			if target, _ := attemptTarget(actions); target == full.ID {
+				hits++
+			}
+			h.finishAttempt(id, 0, OK, 10)
+		}
+		if expired != (hits > 0) {
+			t.Errorf("gossip expired %v: %d of 32 requests went to the full endpoint", expired, hits)
+		}
+	}
+}
+
+// Incident: a sidecar of few requests shed by its own few responses, up to all of its load and long after the
+// overload. It goes by the requests of the whole fleet: it sheds while endpoints are full, and nothing once
+// they are empty.
+func TestSheddingFollowsFleetLoad(t *testing.T) {
+	h, peer := newPeers(t, newEndpoints(4))
+	h.b.shedder.baseFraction = maxShedFraction // by its own responses it would shed all it may
+	h.b.latency.shortTerm = 2
+	rejectedWith := func(inFlight int) int {
+		peer.now += 10
+		h.now += 10
+		for _, e := range peer.b.endpoints {
+			e.inFlight = inFlight
+		}
+		h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
+		rejected := 0
+		for range 50 {
+			if id, actions := h.request(idempotentClass); hasAction(actions, Reject) {
+				rejected++
+			} else {
+				h.finishAttempt(id, 0, OK, 10)
+			}
+		}
+		return rejected
+	}
+	full := rejectedWith(15)
+	empty := rejectedWith(0)
+	if full < 25 || empty > 0 {
+		t.Fatalf("rejected %d of 50 requests with full endpoints, want at least 25; "+
+			"%d with empty ones, want 0", full, empty)
+	}
+}
+
+// Incident: when gossip was lost in overload, each sidecar of a large fleet trusted the last sums and then
+// its own responses, which showed the overload only when the endpoints had choked. Its own requests in flight
+// show it sooner: it has far more of them than usual.
+func TestSheddingWithGossipLostGoesByOwnShare(t *testing.T) {
+	h, peer := newPeers(t, newEndpoints(40))
+	for _, e := range peer.b.endpoints[:12] {
+		e.inFlight = 1 // in all a third of the endpoints' capacity
+	}
+	var inFlight []RequestID
+	// sendFour sends four requests, ends all but the last keep in flight, and counts the rejected ones.
+	sendFour := func(keep int) (rejected int) {
+		h.now += 20
+		for range 4 {
+			if id, actions := h.request(idempotentClass); hasAction(actions, Reject) {
+				rejected++
+			} else {
+				inFlight = append(inFlight, id)
+			}
+		}
+		for ; len(inFlight) > keep; inFlight = inFlight[1:] {
+			h.finishAttempt(inFlight[0], 0, OK, 20)
+		}
+		return rejected
+	}
+	for range 50 {
+		peer.now = h.now + 20
+		h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
+		if sendFour(1) > 0 {
+			t.Fatal("a load within the capacity of the endpoints is shed")
+		}
+	}
+	h.now += gossipTimeout
+	usual, overloaded := 0, 0
+	for range 10 {
+		usual += sendFour(1)
+	}
+	for range 10 { // responses take longer, and none of them is late yet
+		overloaded += sendFour(8)
+	}
+	if usual > 0 || overloaded < 5 {
+		t.Fatalf("gossip lost: rejected %d of 40 requests at the usual load, want 0; "+
+			"%d in overload, want at least 5", usual, overloaded)
+	}
+}
+
+// Incident: endpoints that fail at once have nothing in flight. They passed for empty ones, drew the requests
+// that were not sent elsewhere, and counted as capacity while load was shed.
+func TestFailingEndpointsAddNoCapacity(t *testing.T) {
+	h := newHarness(t, gossipConfig(0), newEndpoints(4)...)
+	peer := newHarness(t, gossipConfig(2), newEndpoints(4)...)
+	for _, e := range h.b.endpoints[:2] {
+		h.receiveFailures(1, e, 5)
+		h.now += 2
+		h.receiveFailures(3, e, 5)
+		h.now += 2
+		e.outlier.ejectedUntil = 0
+	}
+	peer.now = h.now
+	for _, e := range peer.b.endpoints[2:] {
+		e.inFlight = 1
+	}
+	h.handle(GossipMessage{Sender: 2, Data: peer.sentGossip()})
+	halfFailing := h.b.fleetShedFraction()
+	for range 20 {
+		id, actions := h.request(nonIdempotentClass)
+		target, sent := attemptTarget(actions)
+		if sent && target <= 2 {
+			t.Fatalf("attempt at endpoint %d, which fails, want 3 or 4", target)
+		}
+		if sent {
+			h.finishAttempt(id, 0, OK, 10)
+		}
+	}
+	for _, e := range h.b.endpoints[:2] { // they respond again
+		e.evidence = outlierEvidence{}
+	}
+	if noneFailing := h.b.fleetShedFraction(); noneFailing >= halfFailing {
+		t.Fatalf("shed fraction %.2f with two of four endpoints failing, %.2f with none, want less",
+			halfFailing, noneFailing)
+	}
+}
+
+// The concurrency limit is relative to nominal capacity, whose scale each deployment chooses. Where so much
+// is in flight that load would be shed, but responses stay fast, less and less is shed; where responses are
+// slow, shedding goes on.
+func TestFastResponsesRaiseTheConcurrencyLimit(t *testing.T) {
+	for _, slow := range []bool{false, true} {
+		h, peer := newPeers(t, newEndpoints(4))
+		h.b.concurrency.latency.baseline = 0.2
+		objective := h.b.cfg.Classes[idempotentClass].LatencyObjective
+		latency := 0.2 * objective
+		if slow {
+			latency *= 4
+		}
+		var rejected [2]int // of the first and of the second 200 requests
+		for i := range 400 {
+			h.now += 10
+			peer.now += 10
+			for _, e := range peer.b.endpoints {
+				e.inFlight = 1 + i%2 // only changes are gossiped
+			}
+			peer.b.concurrency.latency.baseline = 0.2
+			peer.b.concurrency.latency.recordOwn(peer.now, latency/objective)
+			h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
+			h.sentGossip()
+			if id, actions := h.request(idempotentClass); hasAction(actions, Reject) {
+				rejected[i/200]++
+			} else {
+				h.finishAttempt(id, 0, OK, latency)
+			}
+		}
+		if rejected[0] == 0 || !slow && rejected[1] > rejected[0]/2 || slow && rejected[1] < rejected[0]/2 {
+			t.Errorf("slow responses %v: rejected %d of the first and %d of the last 200 requests, "+
+				"want some at first, and later at most half of that just if responses are fast",
+				slow, rejected[0], rejected[1])
+		}
+	}
+}
+
+// loadByPeer simulates a time in which peer 1 has a number of requests in flight at each endpoint and gets
+// responses of the given latency, a fraction of their objective. The peer gossips both; this sidecar has no
+// requests of its own.
+func (h *harness) loadByPeer(peer *harness, inFlight int, latency, duration float64) {
+	h.t.Helper()
+	for end := h.now + duration; h.now < end; {
+		h.now += 50
+		peer.now, peer.b.now = h.now, h.now
+		for _, e := range peer.b.endpoints {
+			e.inFlight = inFlight
+			e.gossip.announcedInFlight = inFlight + 1 // only changes are gossiped
+		}
+		for range 10 {
+			peer.b.concurrency.latency.recordOwn(h.now, latency)
+		}
+		h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
+		h.sentGossip()
+	}
+}
+
+// Incident: a sidecar with few requests needed minutes to learn alone how much endpoints can do. It learns
+// from the latency of the whole fleet: the limit rises within seconds while much is in flight and responses
+// stay fast, and falls within a second or two once they are slow.
+func TestConcurrencyLimitFollowsFleetLatency(t *testing.T) {
+	h, peer := newPeers(t, newEndpoints(4))
+	h.loadByPeer(peer, 1, 0.1, 2000)
+	lowLoad := h.b.concurrency.limit
+	h.loadByPeer(peer, 4, 0.1, 4000)
+	fastResponses := h.b.concurrency.limit
+	h.loadByPeer(peer, 10, 0.3, 1000)
+	slowResponses := h.b.concurrency.limit
+	h.loadByPeer(peer, 10, 0.3, 2000) // choked endpoints do far less than before, which is no floor
+	choked := h.b.concurrency.limit
+	if lowLoad > 1.5 || fastResponses < 5 || slowResponses > 0.6*fastResponses ||
+		choked > initialConcurrencyLimit {
+		t.Errorf("limit %.2f at low load, want at most 1.5; %.2f with fast responses, want at least 5; "+
+			"%.2f after 1 s of slow ones, want at most %.2f; %.2f after 3 s, want at most %.2f",
+			lowLoad, fastResponses, slowResponses, 0.6*fastResponses, choked, initialConcurrencyLimit)
+	}
+	latency := &h.b.concurrency.latency
+	if mean := latency.sum / latency.samples; latency.baseline > 0.12 || mean < 0.2 {
+		t.Errorf("baseline latency %.2f, want at most 0.12; mean %.2f, want at least 0.2",
+			latency.baseline, mean)
+	}
+}
+
+// Where nominal capacities promise more than endpoints can do, the limit falls below its initial value. Where
+// endpoints were seen to do the present load, and something else makes responses slow, it does not.
+func TestConcurrencyLimitIgnoresLatencyWithoutLoad(t *testing.T) {
+	overratedEndpoints := newEndpoints(4)
+	for i := range overratedEndpoints {
+		overratedEndpoints[i].NominalCapacity = 10
+	}
+	h, peer := newPeers(t, overratedEndpoints)
+	h.loadByPeer(peer, 2, 0.1, 3000)
+	h.loadByPeer(peer, 6, 0.3, 20000) // two in service, by Little's law
+	overrated := h.b.concurrency.limit
+	h, peer = newPeers(t, newEndpoints(4))
+	h.loadByPeer(peer, 1, 0.1, 3000)
+	h.loadByPeer(peer, 1, 0.2, 20000)
+	sameLoad := h.b.concurrency.limit
+	if overrated > 0.45 || overrated < 0.2 || sameLoad < initialConcurrencyLimit {
+		t.Errorf("limit %.2f at a fifth of the nominal capacity, want 0.2 to 0.45; "+
+			"%.2f with slow responses at the same load, want at least %.2f",
+			overrated, sameLoad, initialConcurrencyLimit)
+	}
+}
+
+// A restarted sidecar has never seen how fast responses can be. It adopts the baseline of its peers, so that
+// overload does not pass for the usual latency; but a single message may hardly change it.
+func TestRestartedSidecarAdoptsPeerBaseline(t *testing.T) {
+	h, peer := newPeers(t, newEndpoints(4))
+	peer.b.concurrency.latency.baseline = 0.1
+	h.loadByPeer(peer, 1, 0.25, 50)
+	if baseline := h.b.concurrency.latency.baseline; baseline < initialBaseline*0.9 {
+		t.Errorf("baseline %.2f after one message, want at least %.2f", baseline, initialBaseline*0.9)
+	}
+	h.loadByPeer(peer, 1, 0.25, baselineAdoptionTime)
+	before := h.b.concurrency.latency.baseline
+	if before > 0.2 {
+		t.Errorf("baseline %.2f after %d ms of gossip, want at most 0.2", before, baselineAdoptionTime)
+	}
+	justStarted := h.b.now < h.b.concurrency.startedAt+baselineAdoptionTime
+	for range 500 {
+		h.b.concurrency.latency.merge(h.b.now, latencyReport{baseline: 1}, justStarted)
+	}
+	if after := h.b.concurrency.latency.baseline; after < before {
+		t.Errorf("baseline went from %.2f to %.2f by gossip long after the start, want it no lower",
+			before, after)
+	}
+}
+
+// Responses of zero, tiny or long latency leave the limit and the baseline usable.
+func TestZeroLatencyResponses(t *testing.T) {
+	h, peer := newPeers(t, newEndpoints(4))
+	for _, latency := range []float64{0, 2, 0, 1e-9, 2} {
+		h.loadByPeer(peer, 2, latency, 2000)
+	}
+	limit, baseline := h.b.concurrency.limit, h.b.concurrency.latency.baseline
+	if !(limit > 0.1 && limit < 1000) || !(baseline > 0) {
+		t.Errorf("limit %v, want 0.1 to 1000; baseline %v, want above 0", limit, baseline)
+	}
+}
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -7,114 +7,150 @@
 	"testing"
 )
 
-// An event that cannot be is an error that says what was wrong, and leaves the balancer as it was.
+// An impossible event gives an error that says what is wrong, and leaves the balancer unchanged.
 func TestHandleRejectsInvalidEvents(t *testing.T) {
-	g := newHarness(t, baseConfig(), newEndpoints(3)...)
-	id, _ := g.request(idempotentClass)
-	before, r := *g.b, *g.b.requests[id]
+	h := newHarness(t, baseConfig(), newEndpoints(3)...)
+	id, _ := h.request(idempotentClass)
+	before, requestBefore := *h.b, *h.b.requests[id]
 	for _, c := range []struct {
-		ev   Event
-		says string
+		event     Event
+		wantError string // a part of it
 	}{
-		{Request{ID: 50, Class: 99}, "unknown class 99"},
-		{Request{ID: 50, Class: -1}, "unknown class -1"},
-		{Request{ID: id, Class: nonIdempotentClass, Timeout: 100}, "in use"},
-		{AttemptResult{Request: 77}, "request 77, attempt 0"},
-		{AttemptResult{Request: id, Attempt: -1}, "attempt -1"},
-		{AttemptResult{Request: id, Attempt: 1}, "attempt 1"},
+		{event: Request{ID: 50, Class: 99}, wantError: "unknown class 99"},
+		{event: Request{ID: 50, Class: -1}, wantError: "unknown class -1"},
+		{event: Request{ID: id, Class: nonIdempotentClass, Timeout: 100}, wantError: "in use"},
+		{event: AttemptResult{Request: 77}, wantError: "request 77, attempt 0"},
+		{event: AttemptResult{Request: id, Attempt: -1}, wantError: "attempt -1"},
+		{event: AttemptResult{Request: id, Attempt: 1}, wantError: "attempt 1"},
 	} {
-		acts, err := g.b.Handle(g.now, c.ev)
-		if err == nil || !strings.Contains(err.Error(), c.says) || len(acts) > 0 {
-			t.Errorf("%+v: error %v, actions %v", c.ev, err, acts)
+		actions, err := h.b.Handle(h.now, c.event)
+		if err == nil || !strings.Contains(err.Error(), c.wantError) || len(actions) > 0 {
+			t.Errorf("%+v: got error %v, want one with %q; got actions %v, want none",
+				c.event, err, c.wantError, actions)
 		}
-		after := *g.b
+		after := *h.b
 		after.actions = before.actions
-		if !reflect.DeepEqual(after, before) || !reflect.DeepEqual(*g.b.requests[id], r) {
-			t.Errorf("%+v changed the balancer", c.ev)
+		if !reflect.DeepEqual(after, before) || !reflect.DeepEqual(*h.b.requests[id], requestBefore) {
+			t.Errorf("%+v changed the balancer", c.event)
 		}
 	}
 }
 
+// Late or foreign events about unknown requests, endpoints and peers are ignored.
 func TestHandleIgnoresUnknownIDs(t *testing.T) {
-	g := newHarness(t, baseConfig(), newEndpoints(3)...)
-	for _, ev := range []Event{
-		ClientCanceled{Request: 9}, Timer{Token: 9}, HealthCheckResult{Endpoint: 99, Result: TimedOut}, ResponseStarted{Request: 9},
-		GossipMessage{Sender: 7, Data: []byte("\x01wrong")}, GossipMessage{Sender: -1},
+	h := newHarness(t, baseConfig(), newEndpoints(3)...)
+	for _, event := range []Event{
+		ClientCanceled{Request: 9},
+		Timer{Token: 9},
+		HealthCheckResult{Endpoint: 99, Result: TimedOut},
+		ResponseStarted{Request: 9},
+		GossipMessage{Sender: 7, Data: []byte("\x01wrong")},
+		GossipMessage{Sender: -1},
 		EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{ID: 99, Lifecycle: Removed}}},
 	} {
-		if acts := g.handle(ev); len(acts) > 0 {
-			t.Errorf("%+v: %+v", ev, acts)
+		if actions := h.handle(event); len(actions) > 0 {
+			t.Errorf("%+v: got actions %+v, want none", event, actions)
 		}
 	}
-	acts := g.handle(Request{ID: 1, Tenant: 50, Timeout: 100}) // an unknown tenant counts as none
-	if !hasAction(acts, StartAttempt) || g.b.tenants[len(g.b.tenants)-1].requested != 2 {
-		t.Fatalf("a request of an unknown tenant: %+v", acts)
+	actions := h.handle(Request{ID: 1, Tenant: 50, Timeout: 100}) // an unknown tenant counts as none
+	noTenant := h.b.demand.tenants[len(h.b.demand.tenants)-1]
+	if !hasAction(actions, StartAttempt) || noTenant.requested != 2 {
+		t.Fatalf("request of an unknown tenant: got actions %+v, want an attempt; "+
+			"%v requests without tenant, want 2", actions, noTenant.requested)
 	}
 }
 
-// Numbers that are not finite or below zero, in settings, lists, reports and times, reach no weight and no timer.
+// Numbers that are negative or not finite, in settings, endpoint lists, load reports and times, reach no
+// weight and no timer.
 func TestNonFiniteInputsAreContained(t *testing.T) {
-	for _, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
-		cfg := healthCheckConfig()
-		cfg.BatchInterval, cfg.SlowStartFraction, cfg.SlowStartDuration, cfg.OverloadFactor, cfg.OverloadWindow = odd, odd, odd, odd, odd
-		cfg.PollInterval, cfg.Penalties.CrossZone, cfg.Penalties.HealthCheck, cfg.Goal.WorstClass = odd, odd, odd, odd
-		cfg.Tenants = []Tenant{{QuotaShare: odd, QuotaRate: odd}}
-		for i := range cfg.Classes {
-			c := &cfg.Classes[i]
-			c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateWeight, c.DedupWindow = odd, odd, odd, odd, odd
+	for _, invalid := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
+		cfg := configWith(invalid)
+		endpoints := newEndpoints(4)
+		for i := range endpoints {
+			endpoints[i].NominalCapacity, endpoints[i].StartedAt = invalid, invalid
 		}
-		servers := newEndpoints(4)
-		for i := range servers {
-			servers[i].NominalCapacity, servers[i].StartedAt = odd, odd
-		}
-		g := newHarness(t, cfg, servers...)
+		h := newHarness(t, cfg, endpoints...)
 		for i := range 40 {
-			id, acts := g.request(i % len(cfg.Classes))
+			class := i % len(cfg.Classes)
+			id, actions := h.request(class)
 			if i%2 == 0 {
-				acts = g.handle(Request{ID: RequestID(1000 + i), Class: i % len(cfg.Classes), Timeout: odd})
+				actions = h.handle(Request{ID: RequestID(1000 + i), Class: class, Timeout: invalid})
 			}
-			acts = append(acts, g.answerHealthChecks(acts, float32(odd), nil)...)
-			if r := g.b.requests[id]; r != nil && r.inFlight > 0 {
-				acts = append(acts, g.finishAttempt(id, 0, OK, odd)...)
+			actions = append(actions, h.answerHealthChecks(actions, float32(invalid), nil)...)
+			if r := h.b.requests[id]; r != nil && r.inFlight > 0 {
+				actions = append(actions, h.finishAttempt(id, 0, OK, invalid)...)
 			}
-			for _, a := range acts {
+			for _, a := range actions {
 				if !(a.Delay >= 0) || math.IsInf(a.Delay, 0) {
-					t.Fatalf("%v: action %+v", odd, a)
+					t.Fatalf("input %v: action %+v, want a finite delay of at least 0", invalid, a)
 				}
 			}
-			g.now += 10
+			h.now += 10
 		}
-		if _, err := g.b.Handle(odd, Timer{}); err != nil || g.b.now != g.now-10 {
-			t.Fatalf("%v as the time: now %v, error %v", odd, g.b.now, err)
+		if _, err := h.b.Handle(invalid, Timer{}); err != nil || h.b.now != h.now-10 {
+			t.Fatalf("time %v: the clock went to %v, want %v; error %v, want none",
+				invalid, h.b.now, h.now-10, err)
 		}
-		for _, s := range g.b.endpoints {
-			if w := g.b.weightOf(s); !(w > 0) || math.IsInf(w, 0) || math.IsNaN(s.currentWeight) {
-				t.Errorf("%v: server %d has weight %v, running value %v", odd, s.ID, w, s.currentWeight)
+		for _, e := range h.b.endpoints {
+			weight := h.b.weightOf(e)
+			if !(weight > 0) || math.IsInf(weight, 0) || math.IsNaN(e.rotation.currentWeight) {
+				t.Errorf("input %v: endpoint %d has weight %v, current weight %v, want finite ones",
+					invalid, e.ID, weight, e.rotation.currentWeight)
 			}
 		}
 	}
 }
 
-// An empty list, one server, all draining: each request still gets one final answer in time.
+// configWith returns settings that hold one value in many places.
+func configWith(value float64) Config {
+	cfg := healthCheckConfig()
+	cfg.BatchInterval = value
+	cfg.SlowStartFraction = value
+	cfg.SlowStartDuration = value
+	cfg.OverloadFactor = value
+	cfg.OverloadWindow = value
+	cfg.PollInterval = value
+	cfg.Penalties.CrossZone = value
+	cfg.Penalties.HealthCheck = value
+	cfg.Goal.WorstClass = value
+	cfg.Tenants = []Tenant{{QuotaShare: value, QuotaRate: value}}
+	for i := range cfg.Classes {
+		class := &cfg.Classes[i]
+		class.LatencyObjective = value
+		class.Deadline = value
+		class.PriorityWeight = value
+		class.LateWeight = value
+		class.DedupWindow = value
+	}
+	return cfg
+}
+
+// Whatever the endpoint list, each request gets one final response in time.
 func TestEveryRequestIsAnsweredForAnyEndpointList(t *testing.T) {
 	draining := newEndpoints(3)
 	for i := range draining {
 		draining[i].Lifecycle = Draining
 	}
-	for name, servers := range map[string][]Endpoint{"empty": nil, "one": newEndpoints(1), "all draining": draining} {
-		g := newHarness(t, baseConfig(), servers...)
-		for class := range g.b.cfg.Classes {
-			id, _ := g.request(class)
-			finals := 0
-			for end := g.b.requests[id].deadline; g.now <= end && finals == 0; g.now += 5 {
-				acts := g.handle(Timer{Token: uint64(id)})
-				if hasAction(acts, Reject) || hasAction(acts, Fail) {
-					finals++
+	for name, endpoints := range map[string][]Endpoint{
+		"no endpoints": nil,
+		"one endpoint": newEndpoints(1),
+		"all draining": draining,
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, baseConfig(), endpoints...)
+			for class := range h.b.cfg.Classes {
+				id, _ := h.request(class)
+				responses := 0
+				for end := h.b.requests[id].deadline; h.now <= end && responses == 0; h.now += 5 {
+					actions := h.handle(Timer{Token: uint64(id)})
+					if hasAction(actions, Reject) || hasAction(actions, Fail) {
+						responses++
+					}
+				}
+				if responses != 1 {
+					t.Errorf("class %d: %d final responses in time, want 1", class, responses)
 				}
 			}
-			if finals != 1 {
-				t.Errorf("%s, class %d: %d answers in time", name, class, finals)
-			}
-		}
+		})
 	}
 }
--- /dev/null
+++ b/balance/outlier_test.go
@@ -0,0 +1,141 @@
+package balance
+
+import "testing"
+
+// Incident: each of 80 sidecars learned on its own that an endpoint was dead, and lost some requests there.
+// Failures that two peers saw eject an endpoint, and responses to peers end the ejection: no single sidecar
+// can eject an endpoint, or keep it ejected.
+func TestEndpointsFailingForPeersAreEjected(t *testing.T) {
+	h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
+	e := h.b.endpoints[3]
+	h.receiveFailures(1, e, 6)
+	if e.outlier.ejected(h.b.now) {
+		t.Fatal("an endpoint that failed a single peer is ejected")
+	}
+	h.receiveFailures(2, e, 3)
+	if !e.outlier.ejected(h.b.now) {
+		t.Fatal("an endpoint that failed two peers is not ejected")
+	}
+	for sender := 3; e.outlier.ejected(h.b.now) && sender < 10; sender++ {
+		h.receiveSuccess(sender, e)
+	}
+	if e.outlier.ejected(h.b.now) {
+		t.Fatal("an endpoint that responds to peers is still ejected")
+	}
+}
+
+// Where most endpoints fail, the cause is hardly a single one of them.
+func TestGossipEjectsAtMostHalfOfEndpoints(t *testing.T) {
+	h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
+	ejected := 0
+	for _, e := range h.b.endpoints {
+		h.receiveFailures(1, e, 3)
+		h.now += 2
+		h.receiveFailures(2, e, 3)
+		h.now += 2
+		if e.outlier.ejected(h.b.now) {
+			ejected++
+		}
+	}
+	if ejected != 4 {
+		t.Fatalf("%d of 8 endpoints are ejected by gossip, want 4", ejected)
+	}
+}
+
+// In a congested fleet all responses are late, which is no endpoint's fault. Once the class is known to take
+// long, an attempt of 430 ms with a latency objective of 300 ms is no error.
+func TestLatenessUnderCongestionIsNoError(t *testing.T) {
+	h := newHarness(t, baseConfig(), newEndpoints(4)...)
+	latencies := []float64{370, 430, 400}
+	for i := range 60 {
+		id, actions := h.request(nonIdempotentClass)
+		if !hasAction(actions, StartAttempt) {
+			continue
+		}
+		latency := latencies[i%3]
+		end := h.now + latency
+		r := h.b.requests[id]
+		for !r.closed && r.wakeAt < end {
+			h.now = r.wakeAt
+			h.handle(Timer{Token: uint64(id)})
+		}
+		h.now = end
+		if i > 30 && r.attempts[0].overdue {
+			t.Fatalf("request %d: its attempt of %v ms is overdue after %v ms", i, latency, r.overdueAfter())
+		}
+		h.finishAttempt(id, 0, OK, latency)
+	}
+	id, _ := h.request(nonIdempotentClass)
+	r := h.b.requests[id]
+	h.now = r.wakeAt
+	if h.now >= r.deadline {
+		t.Fatal("no timer for the attempt before its deadline")
+	}
+	h.handle(Timer{Token: uint64(id)})
+	if a := r.attempts[0]; !a.overdue || a.endpoint.outlier.consecutiveErrors != 1 {
+		t.Fatalf("attempt far slower than all others: overdue %v, want true; consecutive errors %v, want 1",
+			a.overdue, a.endpoint.outlier.consecutiveErrors)
+	}
+}
+
+// A restart clears the outlier state of an endpoint: its ejections, and that it was unreachable.
+func TestRestartClearsOutlierState(t *testing.T) {
+	h := newHarness(t, baseConfig(), newEndpoints(2)...)
+	e := h.b.endpoints[0]
+	h.handle(HealthCheckResult{Endpoint: e.ID, Result: TimedOut})
+	if !e.outlier.unreachable || !e.outlier.ejected(h.b.now) {
+		t.Fatal("a health check without response does not eject the endpoint")
+	}
+	entry := e.Endpoint
+	entry.StartedAt = h.now
+	h.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{entry}})
+	if e.outlier.unreachable || e.outlier.ejections != 0 || e.outlier.ejected(h.b.now) {
+		t.Fatalf("after the restart: unreachable %v, %d ejections, ejected %v; want none",
+			e.outlier.unreachable, e.outlier.ejections, e.outlier.ejected(h.b.now))
+	}
+}
+
+// An endpoint is ejected after several consecutive errors, gets no requests while it is, and is in full use
+// again after a response.
+func TestConsecutiveErrorsEjectAnEndpoint(t *testing.T) {
+	h := newHarness(t, baseConfig(), newEndpoints(3)...)
+	e := h.b.endpoints[0]
+	for range ejectionErrors - 1 {
+		h.b.recordError(e, false)
+	}
+	if e.outlier.ejected(h.b.now) {
+		t.Fatalf("ejected after %d errors, want %d", ejectionErrors-1, ejectionErrors)
+	}
+	h.b.recordError(e, false)
+	if !e.outlier.ejected(h.b.now) {
+		t.Fatalf("not ejected after %d errors", ejectionErrors)
+	}
+	for range 12 {
+		id, actions := h.request(idempotentClass)
+		if target, _ := attemptTarget(actions); target == e.ID {
+			t.Fatal("an ejected endpoint got a request")
+		}
+		h.finishAttempt(id, 0, OK, 10)
+	}
+	h.now = e.outlier.ejectedUntil
+	for range 12 {
+		id, actions := h.request(idempotentClass)
+		target, _ := attemptTarget(actions)
+		h.finishAttempt(id, 0, OK, 10)
+		if target == e.ID && e.outlier.ejectedUntil == 0 && e.outlier.consecutiveErrors == 0 {
+			return
+		}
+	}
+	t.Fatal("the endpoint was not used again after its ejection")
+}
+
+// When all endpoints are ejected, the cause is hardly theirs.
+func TestAllEjectedEndpointsAreStillUsed(t *testing.T) {
+	h := newHarness(t, baseConfig(), newEndpoints(3)...)
+	for _, e := range h.b.endpoints {
+		h.b.recordError(e, true)
+	}
+	if _, actions := h.request(idempotentClass); !hasAction(actions, StartAttempt) {
+		t.Fatalf("got actions %+v, want an attempt", actions)
+	}
+}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -5,132 +5,140 @@
 	"testing"
 )
 
-// members returns the subset of sidecar n of peers over a fleet.
-func subsetMembers(t *testing.T, n, peers int, servers []Endpoint) map[EndpointID]bool {
+// subsetMembers returns the subset of one of a number of sidecars.
+func subsetMembers(t *testing.T, peerIndex, peerCount int, endpoints []Endpoint) map[EndpointID]bool {
 	t.Helper()
 	cfg := baseConfig()
-	cfg.PeerIndex, cfg.PeerCount = n, peers
-	got := map[EndpointID]bool{}
-	for _, s := range newHarness(t, cfg, servers...).b.subset() {
-		got[s.ID] = true
+	cfg.PeerIndex, cfg.PeerCount = peerIndex, peerCount
+	members := map[EndpointID]bool{}
+	for _, e := range newHarness(t, cfg, endpoints...).b.subset() {
+		members[e.ID] = true
 	}
-	return got
+	return members
 }
 
-// A thousand sidecars that each used every server filled the servers' connection tables, and most
-// attempts got no connection.
+// Incident: a thousand sidecars that each used every endpoint filled the endpoints' connection tables, and
+// most attempts got no connection. Subsets are of the least size, use all endpoints evenly, and hardly change
+// when an endpoint is removed.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
-	const peers, servers = 800, 100
-	all, fewer := newEndpoints(servers), newEndpoints(servers)[:servers-1]
-	held := map[EndpointID]int{}
+	const peers, endpointCount = 800, 100
+	all, oneRemoved := newEndpoints(endpointCount), newEndpoints(endpointCount)[:endpointCount-1]
+	users := map[EndpointID]int{}
 	changed := 0
 	for n := range peers {
-		before, after := subsetMembers(t, n, peers, all), subsetMembers(t, n, peers, fewer)
+		before := subsetMembers(t, n, peers, all)
+		after := subsetMembers(t, n, peers, oneRemoved)
 		if len(before) != minSubset {
-			t.Fatalf("sidecar %d uses %d servers", n, len(before))
+			t.Fatalf("sidecar %d uses %d endpoints, want %d", n, len(before), minSubset)
 		}
 		for id := range before {
-			held[id]++
+			users[id]++
 			if !after[id] {
 				changed++
 			}
 		}
 	}
-	mean := float64(peers*minSubset) / servers
-	for id, n := range held {
+	mean := float64(peers*minSubset) / endpointCount
+	for id, n := range users {
 		if math.Abs(float64(n)-mean) > mean/4 {
-			t.Errorf("server %d is used by %d sidecars, on average %.0f", id, n, mean)
+			t.Errorf("endpoint %d is used by %d sidecars, want about %.0f", id, n, mean)
 		}
 	}
-	// One of a hundred servers left: of five members about one moves at the edge of the window.
-	if len(held) != servers || changed > peers {
-		t.Errorf("%d servers used; %d places changed as one server left", len(held), changed)
+	// The removal of one of a hundred endpoints moves about one member of a subset, at its end.
+	if len(users) != endpointCount || changed > peers {
+		t.Errorf("%d endpoints used, want %d; %d members changed when one was removed, want at most %d",
+			len(users), endpointCount, changed, peers)
 	}
 }
 
+// Few sidecars use all endpoints.
 func TestFewSidecarsUseTheWholeFleet(t *testing.T) {
 	for _, peers := range []int{1, 3, connectionsPerEndpoint} {
 		if got := subsetMembers(t, 0, peers, newEndpoints(60)); len(got) != 60 {
-			t.Errorf("of %d sidecars one uses %d servers of 60", peers, len(got))
+			t.Errorf("one of %d sidecars uses %d endpoints, want all 60", peers, len(got))
 		}
 	}
 }
 
-// A sidecar that turned hot must not crowd the few servers of its subset.
+// A sidecar of much traffic must not overload the few endpoints of the least subset.
 func TestBusySidecarUsesLargerSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
-	g := newHarness(t, cfg, newEndpoints(100)...)
+	h := newHarness(t, cfg, newEndpoints(100)...)
 	for range 1000 {
-		id, acts := g.request(idempotentClass)
-		if hasAction(acts, StartAttempt) {
-			g.finishAttempt(id, 0, OK, 5)
+		id, actions := h.request(idempotentClass)
+		if hasAction(actions, StartAttempt) {
+			h.finishAttempt(id, 0, OK, 5)
 		}
-		g.now += 4
+		h.now += 4
 	}
-	if n := len(g.b.subset()); n < 40 {
-		t.Fatalf("250 requests a second go over %d servers of 100", n)
+	if n := len(h.b.subset()); n < 40 {
+		t.Fatalf("250 requests a second use %d of 100 endpoints, want at least 40", n)
 	}
 }
 
-// Most of a subset failed at once, and its sidecar had nobody left to send to.
+// Incident: most of a subset failed at once, and its sidecar had no endpoint left. Ejected members do not
+// count in the size of the subset.
 func TestEjectedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
-	g := newHarness(t, cfg, newEndpoints(100)...)
-	before := append([]*endpoint(nil), g.b.subset()...)
-	for _, s := range before[:minSubset-1] {
-		g.b.recordError(s, true)
+	h := newHarness(t, cfg, newEndpoints(100)...)
+	before := append([]*endpoint(nil), h.b.subset()...)
+	for _, e := range before[:minSubset-1] {
+		h.b.recordError(e, true)
 	}
-	if after := g.b.subset(); len(after) != 2*minSubset-1 || after[0] != before[0] {
-		t.Fatalf("%d members with all but one of %d down", len(after), len(before))
+	if after := h.b.subset(); len(after) != 2*minSubset-1 || after[0] != before[0] {
+		t.Fatalf("%d members with all but one of %d ejected, want %d and the same first",
+			len(after), len(before), 2*minSubset-1)
 	}
-	g.now += 1e6
-	g.handle(Timer{Token: 12345})
-	if after := g.b.subset(); len(after) != minSubset {
-		t.Fatalf("%d members after the rests", len(after))
+	h.now += 1e6
+	h.handle(Timer{Token: 12345})
+	if after := h.b.subset(); len(after) != minSubset {
+		t.Fatalf("%d members after the ejections, want %d", len(after), minSubset)
 	}
 }
 
-// A keyed request that may have run could go nowhere, as no other member of the subset was of its cell.
+// Incident: a request with an idempotency key that may have run could not be retried, as no other member of
+// the subset was in the same cell. Then all endpoints are eligible.
 func TestCellScopedKeyFallsBackToWholeFleet(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
 	for n := range 20 {
 		cfg.PeerIndex = n
-		g := newHarness(t, cfg, newEndpoints(100)...)
-		id, acts := g.request(cellKeyClass)
-		first, _ := attemptTarget(acts)
-		second, ok := attemptTarget(g.finishAttempt(id, 0, ServerError, 10))
-		if !ok || first == second || g.b.endpointByID[first].Cell != g.b.endpointByID[second].Cell {
-			t.Fatalf("sidecar %d: sent to %d, then %d (%v)", n, first, second, ok)
+		h := newHarness(t, cfg, newEndpoints(100)...)
+		id, actions := h.request(cellKeyClass)
+		first, _ := attemptTarget(actions)
+		second, ok := attemptTarget(h.finishAttempt(id, 0, ServerError, 10))
+		if !ok || first == second || h.b.endpointByID[first].Cell != h.b.endpointByID[second].Cell {
+			t.Fatalf("sidecar %d: first attempt at endpoint %d, retry at %d (%v), "+
+				"want another one of its cell", n, first, second, ok)
 		}
 	}
 }
 
-// Of 80 sidecars most have a few requests a second, and each opened connections to twelve servers for them. Where
-// sidecars tell each other what servers hold, fewer servers are enough, and still all are used.
+// Incident: of 80 sidecars most had a few requests a second, and each opened connections to twelve endpoints
+// for them. Where sidecars gossip what endpoints have in flight, smaller subsets are enough, and still all
+// endpoints are used.
 func TestGossipAllowsSmallerSubsets(t *testing.T) {
-	const peers, servers = 80, 60
-	held := map[bool]map[EndpointID]int{false: {}, true: {}}
-	for allowed, count := range held {
+	const peers, endpointCount = 80, 60
+	connections := map[bool]int{} // by whether gossip is enabled
+	for _, gossip := range []bool{false, true} {
+		users := map[EndpointID]int{}
 		for n := range peers {
 			cfg := baseConfig()
-			cfg.PeerIndex, cfg.PeerCount, cfg.Gossip = n, peers, allowed
-			for _, s := range newHarness(t, cfg, newEndpoints(servers)...).b.subset() {
-				count[s.ID]++
+			cfg.PeerIndex = n
+			cfg.PeerCount = peers
+			cfg.Gossip = gossip
+			for _, e := range newHarness(t, cfg, newEndpoints(endpointCount)...).b.subset() {
+				users[e.ID]++
+				connections[gossip]++
 			}
 		}
-		total := 0
-		for _, n := range count {
-			total += n
+		if len(users) != endpointCount {
+			t.Errorf("gossip %v: %d of %d endpoints used, want all", gossip, len(users), endpointCount)
 		}
-		if len(count) != servers {
-			t.Errorf("messages %v: %d of %d servers used", allowed, len(count), servers)
-		}
-		held[allowed][0] = total
 	}
-	if alone, told := held[false][0], held[true][0]; told > alone/2 {
-		t.Errorf("%d connections where sidecars tell each other, %d where not", told, alone)
+	if without, with := connections[false], connections[true]; with > without/2 {
+		t.Errorf("%d connections with gossip, %d without, want at most half", with, without)
 	}
 }
