--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,5 @@
-// Command sidecar is the sidecar: it takes the application's requests and has them served.
+// Command sidecar takes the application's requests and has them served by the endpoints. Its configuration is the file
+// that LB_CONFIG names; SIGHUP makes it read the address of discovery again, and SIGTERM ends it gracefully.
 package main
 
 import (
@@ -12,11 +13,14 @@
 	"runtime/debug"
 	"syscall"
 
+	"pebblelift/internal/clock"
+	"pebblelift/internal/config"
+	"pebblelift/internal/downstream"
 	"pebblelift/internal/sidecar"
 )
 
-// memoryPart of the limit is what the Go runtime keeps to: stacks of C and kernel buffers come on top.
-const memoryPart = 0.7
+// configVariable names the environment variable that holds the path of the configuration file.
+const configVariable = "LB_CONFIG"
 
 func main() {
 	if err := run(); err != nil {
@@ -34,52 +38,57 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
-	if cfg.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(cfg.Limits.MemoryMB) * (1 << 20)))
-	}
+	limitRuntime(cfg.Limits)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	loop := sidecar.NewLoop(sidecar.NewClock(), &cfg, log)
+	loop := sidecar.NewLoop(clock.New(), &cfg, log)
 	if err := loop.OpenGossip(); err != nil {
-		ln.Close()
+		listener.Close()
 		return err
 	}
 	alive, end := context.WithCancel(context.Background())
 	defer end()
 	go loop.Run(alive)
-	go reload(alive, hangup, loop, log)
+	go reloadOnHangup(alive, hangup, loop, log)
 	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen)
-	if err := sidecar.NewServer(loop, log).Serve(stop, ln); err != nil {
+	if err := downstream.NewServer(loop, log).Serve(stop, listener); err != nil {
 		return err
 	}
 	log.Info("stopped")
 	return nil
 }
 
-func readConfig() (sidecar.Config, error) {
-	raw, err := os.ReadFile(os.Getenv("LB_CONFIG"))
+func limitRuntime(limits config.Limits) {
+	runtime.GOMAXPROCS(limits.Processors())
+	if bytes := limits.RuntimeMemory(); bytes > 0 {
+		debug.SetMemoryLimit(bytes)
+	}
+}
+
+func readConfig() (config.Config, error) {
+	raw, err := os.ReadFile(os.Getenv(configVariable))
 	if err != nil {
-		return sidecar.Config{}, fmt.Errorf("LB_CONFIG: %w", err)
+		return config.Config{}, fmt.Errorf("%s: %w", configVariable, err)
 	}
-	return sidecar.ParseConfig(raw)
+	return config.Parse(raw)
 }
 
-// reload reads the configuration again at each SIGHUP until ctx ends. What cannot be read changes nothing.
-func reload(ctx context.Context, hangup <-chan os.Signal, loop *sidecar.Loop, log *slog.Logger) {
+// reloadOnHangup reads the configuration again at each SIGHUP until ctx ends. One that cannot be read changes nothing.
+func reloadOnHangup(ctx context.Context, hangup <-chan os.Signal, loop *sidecar.Loop, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
 		}
-		if cfg, err := readConfig(); err != nil {
+		cfg, err := readConfig()
+		if err != nil {
 			log.Error("the new configuration is not taken", "err", err)
-		} else {
-			loop.Reload(&cfg)
+			continue
 		}
+		loop.SetDiscovery(cfg.Discovery)
 	}
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -17,18 +17,24 @@
 	"time"
 )
 
-const patience = 20 * time.Second // for what must come
+const (
+	// timeout is how long a test waits for an event before it fails.
+	timeout = 20 * time.Second
+	// runAsSidecar names the environment variable that makes the test binary run as the sidecar.
+	runAsSidecar = "RUN_AS_SIDECAR"
+)
 
-// TestMain lets the test's own program stand in for the sidecar, in a process that signals can be sent to.
+// TestMain runs the test binary as the sidecar if it was started by startCommand. Tests can send signals to such a
+// process.
 func TestMain(m *testing.M) {
-	if os.Getenv("BE_PETRELHOOK") != "" {
+	if os.Getenv(runAsSidecar) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// discovery reports each connection made to it.
+// startDiscovery starts a discovery service that never responds, and hands over each connection to it.
 func startDiscovery(t *testing.T) (addr string, calls <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,16 +55,17 @@
 	return ln.Addr().String(), conns
 }
 
-// start runs the sidecar and hands over what it logs.
-func startSidecar(t *testing.T, config string) (*exec.Cmd, <-chan string) {
+// startSidecar starts a sidecar process and returns the lines that it logs.
+func startSidecar(t *testing.T, configPath string) (*exec.Cmd, <-chan string) {
 	t.Helper()
-	return startCommand(t, exec.Command(os.Args[0]), config)
+	return startCommand(t, exec.Command(os.Args[0]), configPath)
 }
 
-func startCommand(t *testing.T, cmd *exec.Cmd, config string) (*exec.Cmd, <-chan string) {
+// startCommand starts a sidecar process by a command and returns the lines that it logs.
+func startCommand(t *testing.T, cmd *exec.Cmd, configPath string) (*exec.Cmd, <-chan string) {
 	t.Helper()
-	cmd.Env = append(os.Environ(), "BE_PETRELHOOK=1", "LB_CONFIG="+config)
-	out, err := cmd.StderrPipe()
+	cmd.Env = append(os.Environ(), runAsSidecar+"=1", "LB_CONFIG="+configPath)
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,14 +76,31 @@
 	lines := make(chan string, 1000)
 	go func() {
 		defer close(lines)
-		for in := bufio.NewScanner(out); in.Scan(); {
-			lines <- in.Text()
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+			lines <- scanner.Text()
 		}
 	}()
 	return cmd, lines
 }
 
-// SIGTERM is a clean end before any server is known, twice, and with SIGHUP before and after it.
+// waitForLog reads log lines up to one that contains the text, or to the end of the log.
+func waitForLog(lines <-chan string, text string) {
+	for line := range lines {
+		if strings.Contains(line, text) {
+			return
+		}
+	}
+}
+
+// waitForEnd reads the remaining log lines and returns the exit status of the process.
+func waitForEnd(cmd *exec.Cmd, lines <-chan string) error {
+	for range lines {
+	}
+	return cmd.Wait()
+}
+
+// SIGTERM ends the sidecar cleanly while no endpoint is known, even if it is sent twice or comes with SIGHUP before and
+// after it.
 func TestSIGTERM(t *testing.T) {
 	addr, _ := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -91,48 +115,44 @@
 		{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		cmd, lines := startSidecar(t, path)
-		for line := range lines {
-			if strings.Contains(line, "serving") {
-				break
-			}
-		}
+		waitForLog(lines, "serving")
 		for _, s := range signals {
 			if err := cmd.Process.Signal(s); err != nil {
-				t.Errorf("%v: %v", signals, err)
+				t.Errorf("signals %v: %v", signals, err)
 			}
 		}
-		for range lines {
-		}
-		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v: ended with %v", signals, err)
+		if err := waitForEnd(cmd, lines); err != nil {
+			t.Errorf("signals %v: the sidecar ended with %v", signals, err)
 		}
 	}
 }
 
-// At SIGHUP the sidecar goes on with the discovery that the configuration names now; one that cannot be read changes
-// nothing. SIGTERM still ends it cleanly.
+// At SIGHUP the sidecar switches to the discovery address in its configuration file. A file that cannot be read changes
+// nothing. SIGTERM still ends the sidecar cleanly afterwards.
 func TestSIGHUP(t *testing.T) {
-	first, firstCalls := startDiscovery(t)
-	second, secondCalls := startDiscovery(t)
+	firstAddr, firstCalls := startDiscovery(t)
+	secondAddr, secondCalls := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
+	writeConfig := func(text string) {
+		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "discovery": %q, "seed": "1", "settings":
-			{"classes": [{"name": "read", "effect": "read_like", "hard_limit_ms": 1000}], "discovery": "subscribe"}}`, discovery)
+			{"classes": [{"name": "read", "effect": "read_like", "hard_limit_ms": 1000}], "discovery": "subscribe"}}`,
+			discovery)
 	}
-	write(config(first))
+	writeConfig(config(firstAddr))
 	cmd, lines := startSidecar(t, path)
-	wait := func(calls <-chan net.Conn) net.Conn {
+	waitForCall := func(calls <-chan net.Conn) net.Conn {
 		t.Helper()
 		select {
 		case c := <-calls:
 			return c
-		case <-time.After(patience):
-			t.Fatal("discovery is not called")
+		case <-time.After(timeout):
+			t.Fatal("timed out waiting for a call to discovery")
 			return nil
 		}
 	}
@@ -142,88 +162,86 @@
 			t.Fatal(err)
 		}
 	}
-	old := wait(firstCalls)
-	write("{")
+	firstWatch := waitForCall(firstCalls)
+	writeConfig("{")
 	signal(syscall.SIGHUP)
-	for line := range lines { // it is told
-		if strings.Contains(line, "not taken") {
-			break
-		}
-	}
-	write(config(second))
+	waitForLog(lines, "not taken")
+	writeConfig(config(secondAddr))
 	signal(syscall.SIGHUP)
-	wait(secondCalls)
-	old.SetReadDeadline(time.Now().Add(patience))
-	for buf := make([]byte, 4096); ; { // the old watch is given up
-		if _, err := old.Read(buf); err != nil {
+	waitForCall(secondCalls)
+	firstWatch.SetReadDeadline(time.Now().Add(timeout))
+	for buf := make([]byte, 4096); ; {
+		if _, err := firstWatch.Read(buf); err != nil {
 			if os.IsTimeout(err) {
-				t.Error("the old watch stays")
+				t.Error("the first watch was not closed")
 			}
 			break
 		}
 	}
 	signal(syscall.SIGTERM)
-	for range lines {
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := waitForEnd(cmd, lines); err != nil {
+		t.Errorf("the sidecar ended with %v", err)
 	}
 }
 
-// While discovery is away, clients that send nothing fill all descriptors that there are for clients, and come again as
-// soon as they are turned away or closed. Discovery can still be called when it is back, servers be connected to, and
-// health and requests be served.
+// While discovery is down, idle clients use up all file descriptors that the sidecar has for clients, and reconnect as
+// soon as they are rejected or closed. The sidecar can still answer health checks, call discovery when it is up again,
+// connect to endpoints and serve requests.
 func TestIdleClientsFillDescriptors(t *testing.T) {
-	away, err := net.Listen("tcp", "127.0.0.2:0") // where no client of this test gets its own port
+	// Two free addresses. The clients of this test connect from another one, so they do not take these ports.
+	discoveryPort, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	away.Close()
-	front, err := net.Listen("tcp", "127.0.0.3:0")
+	discoveryPort.Close()
+	discoveryAddr := discoveryPort.Addr().String()
+	sidecarPort, err := net.Listen("tcp", "127.0.0.3:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	front.Close()
+	sidecarPort.Close()
+	listenAddr := sidecarPort.Addr().String()
 	path := filepath.Join(t.TempDir(), "config.json")
-	config := fmt.Sprintf(`{"name": "n0", "listen": %q, "discovery": %q, "seed": "1", "limits": {"sockets": 256}, "settings":
-		{"classes": [{"name": "read", "effect": "read_like", "hard_limit_ms": 15000}], "discovery": "subscribe"}}`, front.Addr(), away.Addr())
+	config := fmt.Sprintf(`{"name": "n0", "listen": %q, "discovery": %q, "seed": "1", "limits": {"sockets": 256},
+		"settings": {"classes": [{"name": "read", "effect": "read_like", "hard_limit_ms": 15000}],
+			"discovery": "subscribe"}}`, listenAddr, discoveryAddr)
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, lines := startCommand(t, exec.Command("sh", "-c", `ulimit -n 256 && exec "$0"`, os.Args[0]), path)
 	if line := <-lines; !strings.Contains(line, "serving") {
-		t.Fatal(line)
+		t.Fatalf("first log line %q, want one that says serving", line)
 	}
-	client, err := net.Dial("tcp", front.Addr().String())
+	client, err := net.Dial("tcp", listenAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	client.SetDeadline(time.Now().Add(patience))
-	in := bufio.NewReader(client)
-	ask := func(request string) (int, string) {
+	client.SetDeadline(time.Now().Add(timeout))
+	reader := bufio.NewReader(client)
+	roundTrip := func(request string) (status int, body string) {
 		t.Helper()
 		fmt.Fprint(client, request)
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(body)
+		text, _ := io.ReadAll(resp.Body)
+		return resp.StatusCode, string(text)
 	}
 	const health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
-	ask(health)
-	var came, turnedAway atomic.Int32
+	roundTrip(health)
+
+	var rejected atomic.Int32
 	stop := make(chan struct{})
-	var crowd sync.WaitGroup
+	var idleClients sync.WaitGroup
 	for range 300 {
-		crowd.Go(func() {
+		idleClients.Go(func() {
 			for range 200 {
-				if c, err := net.Dial("tcp", front.Addr().String()); err == nil {
-					came.Add(1)
-					c.SetReadDeadline(time.Now().Add(patience))
+				if c, err := net.Dial("tcp", listenAddr); err == nil {
+					c.SetReadDeadline(time.Now().Add(timeout))
 					if n, _ := c.Read(make([]byte, 100)); n > 0 {
-						turnedAway.Add(1)
+						rejected.Add(1)
 					}
 					c.Close()
 				}
@@ -235,33 +253,38 @@
 			}
 		})
 	}
-	defer crowd.Wait()
+	defer idleClients.Wait()
 	defer close(stop)
-	for turnedAway.Load() < 300 { // all places are taken
-		if code, _ := ask(health); code != http.StatusOK && code != http.StatusServiceUnavailable {
-			t.Fatalf("health: %d", code)
+	for rejected.Load() < 300 { // until all slots are in use
+		status, _ := roundTrip(health)
+		if status != http.StatusOK && status != http.StatusServiceUnavailable {
+			t.Fatalf("health: status %d, want %d or %d", status, http.StatusOK, http.StatusServiceUnavailable)
 		}
 	}
-	server, err := net.Listen("tcp", "127.0.0.2:0")
+
+	endpoint, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go http.Serve(server, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "hi") }))
-	defer server.Close()
-	back, err := net.Listen("tcp", away.Addr().String())
+	go http.Serve(endpoint, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, "hi")
+	}))
+	defer endpoint.Close()
+	discovery, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer back.Close()
-	go http.Serve(back, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"zone":"a","machineType":"m",
-			"cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}]}`+"\n", server.Addr())
+	defer discovery.Close()
+	go http.Serve(discovery, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"zone":"a",
+			"machineType":"m","cell":0,"lifecycle":"up","weight":1.0,"startedAtMs":0}]}`+"\n", endpoint.Addr())
 	}))
-	code, body := ask("GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: read\r\nX-Expires-In: 15000m\r\n\r\n")
-	if code != http.StatusOK || body != "hi" {
-		t.Errorf("status %d, %q", code, body)
+	status, body := roundTrip(
+		"GET /read HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: read\r\nX-Expires-In: 15000m\r\n\r\n")
+	if status != http.StatusOK || body != "hi" {
+		t.Errorf("request: status %d, body %q, want %d and hi", status, body, http.StatusOK)
 	}
-	if code, _ := ask(health); code != http.StatusOK {
-		t.Errorf("health: %d", code)
+	if status, _ := roundTrip(health); status != http.StatusOK {
+		t.Errorf("health: status %d, want %d", status, http.StatusOK)
 	}
 }
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -8,9 +8,30 @@
 	"testing"
 )
 
-// script builds frames for the adapter.
+// The codes of records in the simulator's frames. The codes of events and of actions overlap.
+const (
+	eventEndpointTable  uint16 = 1000
+	eventRequest        uint16 = 1010
+	eventTimer          uint16 = 1020
+	eventEndpointUpdate uint16 = 1040
+	eventInstanceDown   uint16 = 1060
+	eventInstanceStart  uint16 = 1070
+
+	actionStartAttempt uint16 = 1000
+	actionSetTimer     uint16 = 1040
+	actionFault        uint16 = 1090
+)
+
+// The sizes of action records in bytes.
+const (
+	startAttemptSize = 26
+	setTimerSize     = 20
+)
+
+// script builds the adapter's input.
 type script struct{ bytes.Buffer }
 
+// frame appends a frame with the given records.
 func (s *script) frame(clock float64, records ...[]byte) {
 	size := 16
 	for _, r := range records {
@@ -23,11 +44,11 @@
 	}
 }
 
-// record packs its fields big-endian.
+// record encodes fields in big-endian order.
 func record(fields ...any) []byte {
 	var b bytes.Buffer
-	for _, f := range fields {
-		binary.Write(&b, binary.BigEndian, f)
+	for _, field := range fields {
+		binary.Write(&b, binary.BigEndian, field)
 	}
 	return b.Bytes()
 }
@@ -35,26 +56,30 @@
 const testSettings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func instanceStart(instance uint16, seed uint64, profile string) []byte {
-	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
+func instanceStart(instance uint16, seed uint64, settings string) []byte {
+	return record(eventInstanceStart, instance, seed, uint32(len(settings)), []byte(settings))
 }
 
+// endpointTable returns table 0 with n endpoints that are ready.
 func endpointTable(n int) []byte {
-	b := record(uint16(1000), uint16(0), uint32(n))
+	table := record(eventEndpointTable, uint16(0), uint32(n))
 	for i := range n {
-		b = append(b, record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
+		entry := record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))
+		table = append(table, entry...)
 	}
-	return b
+	return table
 }
 
+// cachedSnapshot returns an update with the endpoints of table 0.
 func cachedSnapshot(instance uint16) []byte {
-	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
+	return record(eventEndpointUpdate, instance, uint8(1), uint32(1), uint16(0))
 }
 
 func requestEvent(instance uint16, id uint64) []byte {
-	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
+	return record(eventRequest, instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
+// mustRun runs the adapter on the frames of a script and returns its replies.
 func mustRun(t *testing.T, s *script) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -64,30 +89,31 @@
 	return out.Bytes()
 }
 
-// sends counts the records of code 1000 in replies whose records are sends and timers only.
+// countAttempts returns the number of attempts started by each instance. The replies must hold only attempts and timers.
 func countAttempts(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
-	n := map[uint16]int{}
+	attempts := map[uint16]int{}
 	for len(replies) > 0 {
 		size := binary.BigEndian.Uint32(replies)
-		for p := replies[4:size]; len(p) > 0; {
-			switch binary.BigEndian.Uint16(p) {
-			case 1000:
-				n[binary.BigEndian.Uint16(p[2:])]++
-				p = p[26:]
-			case 1040:
-				p = p[20:]
+		for actions := replies[4:size]; len(actions) > 0; {
+			switch code := binary.BigEndian.Uint16(actions); code {
+			case actionStartAttempt:
+				attempts[binary.BigEndian.Uint16(actions[2:])]++
+				actions = actions[startAttemptSize:]
+			case actionSetTimer:
+				actions = actions[setTimerSize:]
 			default:
-				t.Fatalf("unexpected action %d", binary.BigEndian.Uint16(p))
+				t.Fatalf("unexpected action code %d", code)
 			}
 		}
 		replies = replies[size:]
 	}
-	return n
+	return attempts
 }
 
+// The actions of an instance do not depend on the other instances of its process.
 func TestActionsAreIndependentOfProcessCount(t *testing.T) {
-	play := func(instances ...uint16) []byte {
+	runInstances := func(instances ...uint16) []byte {
 		s := &script{}
 		var first [][]byte
 		for _, i := range instances {
@@ -101,106 +127,132 @@
 		}
 		return mustRun(t, s)
 	}
-	together := play(1, 2, 3)
+	together := runInstances(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
-		apart := play(i)
-		if n, m := countAttempts(t, together)[i], countAttempts(t, apart)[i]; n != 60 || m != 60 {
-			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
+		alone := runInstances(i)
+		n, m := countAttempts(t, together)[i], countAttempts(t, alone)[i]
+		if n != 60 || m != 60 {
+			t.Fatalf("instance %d started %d attempts together with others and %d alone, want 60", i, n, m)
 		}
-		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
-			t.Fatalf("instance %d acts differently in one process and in three", i)
+		if !bytes.Equal(actionsOf(together, i), actionsOf(alone, i)) {
+			t.Fatalf("instance %d acts differently together with others and alone", i)
 		}
 	}
 }
 
-// actionsOf picks one instance's sends and timers out of replies.
+// actionsOf returns the attempts and timers of one instance. The replies must hold only attempts and timers.
 func actionsOf(replies []byte, instance uint16) []byte {
 	var out []byte
 	for len(replies) > 0 {
 		size := binary.BigEndian.Uint32(replies)
-		for p := replies[4:size]; len(p) > 0; {
-			n := 20
-			if binary.BigEndian.Uint16(p) == 1000 {
-				n = 26
+		for actions := replies[4:size]; len(actions) > 0; {
+			n := setTimerSize
+			if binary.BigEndian.Uint16(actions) == actionStartAttempt {
+				n = startAttemptSize
 			}
-			if binary.BigEndian.Uint16(p[2:]) == instance {
-				out = append(out, p[:n]...)
+			if binary.BigEndian.Uint16(actions[2:]) == instance {
+				out = append(out, actions[:n]...)
 			}
-			p = p[n:]
+			actions = actions[n:]
 		}
 		replies = replies[size:]
 	}
 	return out
 }
 
+// An instance can go down and start again within one frame. A timer of its earlier run is ignored.
 func TestRestartWithinABatch(t *testing.T) {
 	s := &script{}
-	s.frame(1000, instanceStart(1, 7, testSettings), endpointTable(3), cachedSnapshot(1), requestEvent(1, 5),
-		record(uint16(1060), uint16(1)), instanceStart(1, 8, testSettings), cachedSnapshot(1), requestEvent(1, 6))
-	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
+	s.frame(1000,
+		instanceStart(1, 7, testSettings),
+		endpointTable(3),
+		cachedSnapshot(1),
+		requestEvent(1, 5),
+		record(eventInstanceDown, uint16(1)),
+		instanceStart(1, 8, testSettings),
+		cachedSnapshot(1),
+		requestEvent(1, 6))
+	s.frame(1001, record(eventTimer, uint16(1), uint64(5))) // of the earlier run
 	if n := countAttempts(t, mustRun(t, s)); n[1] != 2 {
-		t.Fatalf("%d sends, want one in each life", n[1])
+		t.Fatalf("%d attempts, want one in each run", n[1])
 	}
 }
 
+// Invalid settings are reported to the simulator as a fault with the reason.
 func TestInvalidSettingsAreReported(t *testing.T) {
 	s := &script{}
 	s.frame(1000, instanceStart(1, 7, `{"classes": []}`), endpointTable(1), cachedSnapshot(1))
 	out := mustRun(t, s)
-	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != 1090 || !strings.Contains(string(out), "no classes") {
-		t.Fatalf("reply %q", out)
+	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != actionFault || !strings.Contains(string(out), "no classes") {
+		t.Fatalf("reply %q, want a fault that says no classes", out)
 	}
 }
 
+// An event for an instance that was not started and an invalid clock end the adapter with an error and without a reply.
 func TestInvalidInputEndsTheAdapter(t *testing.T) {
-	notBegun := &script{}
-	notBegun.frame(1000, requestEvent(4, 1))
-	short := &script{}
-	short.frame(math.Inf(1))
-	for name, s := range map[string]*script{"instance not begun": notBegun, "clock": short} {
-		var out bytes.Buffer
-		if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
-			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
-		}
+	notStarted := &script{}
+	notStarted.frame(1000, requestEvent(4, 1))
+	invalidClock := &script{}
+	invalidClock.frame(math.Inf(1))
+	for name, s := range map[string]*script{"instance not started": notStarted, "invalid clock": invalidClock} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
+				t.Errorf("error %v and %d bytes of reply, want an error and no reply", err, out.Len())
+			}
+		})
 	}
 }
 
-// Frames that cannot be read end the adapter with an error and without a reply; an end of input is a clean end.
+// Malformed frames end the adapter with an error and without a reply. The end of the input is not an error.
 func TestUnreadableFramesEndTheAdapter(t *testing.T) {
-	whole := &script{}
-	whole.frame(1000, instanceStart(1, 7, testSettings), endpointTable(3), cachedSnapshot(1))
-	cut := append([]byte(nil), whole.Bytes()[:whole.Len()-5]...)
-	long := append([]byte(nil), whole.Bytes()...)
-	binary.BigEndian.PutUint32(long[4:], 1<<31)
-	unknown := &script{}
-	unknown.frame(1000, record(uint16(77), uint16(1)))
-	count := &script{}
-	count.frame(1000, record(uint16(1000), uint16(0), uint32(math.MaxUint32)))
+	valid := &script{}
+	valid.frame(1000, instanceStart(1, 7, testSettings), endpointTable(3), cachedSnapshot(1))
+	truncated := append([]byte(nil), valid.Bytes()[:valid.Len()-5]...)
+	oversized := append([]byte(nil), valid.Bytes()...)
+	binary.BigEndian.PutUint32(oversized[4:], 1<<31)
+	unknownCode := &script{}
+	unknownCode.frame(1000, record(uint16(77), uint16(1)))
+	excessiveCount := &script{}
+	excessiveCount.frame(1000, record(eventEndpointTable, uint16(0), uint32(math.MaxUint32)))
 	for name, in := range map[string][]byte{
-		"cut short": cut, "over-long": long, "unknown code": unknown.Bytes(), "count past the frame": count.Bytes(),
+		"truncated":            truncated,
+		"oversized":            oversized,
+		"unknown code":         unknownCode.Bytes(),
+		"count past the frame": excessiveCount.Bytes(),
 	} {
-		var out bytes.Buffer
-		if err := run(bytes.NewReader(in), &out); err == nil || out.Len() > 0 {
-			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
-		}
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := run(bytes.NewReader(in), &out); err == nil || out.Len() > 0 {
+				t.Errorf("error %v and %d bytes of reply, want an error and no reply", err, out.Len())
+			}
+		})
 	}
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(nil), &out); err != nil || out.Len() > 0 {
-		t.Errorf("no input: error %v, %d bytes of reply", err, out.Len())
+		t.Errorf("empty input: error %v and %d bytes of reply, want neither", err, out.Len())
 	}
 }
 
-// Settings that cannot be read fault one instance; the others of the process go on.
+// Invalid settings fault only their own instance; the other instances of the process continue.
 func TestInvalidSettingsLeaveOtherInstancesAlone(t *testing.T) {
 	s := &script{}
-	s.frame(1000, instanceStart(1, 7, `{"classes": 5}`), instanceStart(2, 7, testSettings), endpointTable(2), cachedSnapshot(1), cachedSnapshot(2), requestEvent(1, 5), requestEvent(2, 6))
+	s.frame(1000,
+		instanceStart(1, 7, `{"classes": 5}`),
+		instanceStart(2, 7, testSettings),
+		endpointTable(2),
+		cachedSnapshot(1),
+		cachedSnapshot(2),
+		requestEvent(1, 5),
+		requestEvent(2, 6))
 	out := mustRun(t, s)
-	if binary.BigEndian.Uint16(out[4:]) != 1090 || binary.BigEndian.Uint16(out[6:]) != 1 {
-		t.Fatalf("no fault of instance 1: %x", out)
+	if binary.BigEndian.Uint16(out[4:]) != actionFault || binary.BigEndian.Uint16(out[6:]) != 1 {
+		t.Fatalf("reply %x, want a fault of instance 1", out)
 	}
-	text := int(binary.BigEndian.Uint16(out[8:]))
-	rest := append(binary.BigEndian.AppendUint32(nil, uint32(len(out)-6-text)), out[10+text:]...)
+	textSize := int(binary.BigEndian.Uint16(out[8:]))
+	rest := binary.BigEndian.AppendUint32(nil, uint32(len(out)-6-textSize))
+	rest = append(rest, out[10+textSize:]...)
 	if n := countAttempts(t, rest); n[2] != 1 || n[1] != 0 {
-		t.Fatalf("sends %v", n)
+		t.Fatalf("attempts by instance %v, want one of instance 2 only", n)
 	}
 }
--- /dev/null
+++ b/internal/discovery/catalog.go
@@ -0,0 +1,69 @@
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+)
+
+// The lifecycle states of an Instance.
+const (
+	LifecycleUp       = "up"
+	LifecycleDraining = "draining"
+	LifecycleRemoved  = "removed"
+)
+
+// Catalog is one message of discovery: the whole endpoint list, or what has changed.
+type Catalog struct {
+	Generation uint64     `json:"generation"`
+	Reset      bool       `json:"reset"` // it is the whole list
+	Instances  []Instance `json:"instances"`
+}
+
+// Instance is one entry of a Catalog.
+type Instance struct {
+	ID          string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAt   float64 `json:"startedAtMs"` // Unix time in milliseconds; 0: long ago
+}
+
+// ParseCatalog reads one message. One bad entry spoils it all, as half a list would be worse than none. An error
+// wraps ErrMalformed.
+func ParseCatalog(raw []byte) (Catalog, error) {
+	var c Catalog
+	if err := json.Unmarshal(raw, &c); err != nil {
+		return c, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	if c.Instances == nil {
+		return c, fmt.Errorf("%w: no instances", ErrMalformed)
+	}
+	for i := range c.Instances {
+		if err := c.Instances[i].validate(); err != nil {
+			return c, fmt.Errorf("%w: instance %q: %w", ErrMalformed, c.Instances[i].ID, err)
+		}
+	}
+	return c, nil
+}
+
+func (in *Instance) validate() error {
+	switch in.Lifecycle {
+	case LifecycleUp, LifecycleDraining, LifecycleRemoved:
+	default:
+		return fmt.Errorf("unknown lifecycle %q", in.Lifecycle)
+	}
+	if in.ID == "" {
+		return errNoID
+	}
+	if in.Lifecycle == LifecycleRemoved { // it needs no address
+		return nil
+	}
+	if _, _, err := net.SplitHostPort(in.HostPort); err != nil {
+		return fmt.Errorf("address %q: %w", in.HostPort, err)
+	}
+	return nil
+}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package discovery
 
 import (
 	"bytes"
@@ -13,115 +13,138 @@
 	"time"
 
 	"pebblelift/balance"
+	"pebblelift/internal/nettest"
 )
 
-// However a watch goes wrong, it ends with an error, and what came before was told.
+// A watch always ends with an error, and the catalogs that arrive before the error are handled.
 func TestWatchErrors(t *testing.T) {
-	list := catalogJSON(7, true, instanceJSON("s", "127.0.0.1:1", "up"))
-	var indented bytes.Buffer
-	if err := json.Indent(&indented, []byte(list), "", "  "); err != nil {
+	const ok = "HTTP/1.1 200 OK\r\n\r\n"
+	catalog := nettest.CatalogJSON(7, true, nettest.InstanceJSON("s", "127.0.0.1:1", "up"))
+	var buf bytes.Buffer
+	if err := json.Indent(&buf, []byte(catalog), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct {
-		answer string
-		stays  bool
-		told   int
+	indented := buf.String()
+	for name, test := range map[string]struct {
+		response string
+		keepOpen bool // the connection stays open after the response
+		catalogs int  // how many are handled
 	}{
-		"refused":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, 0},
-		"ended":           {"HTTP/1.1 200 OK\r\n\r\n" + list + "\n\n", false, 1},
-		"silent":          {"HTTP/1.1 200 OK\r\n\r\n" + list + "\n", true, 1},
-		"indented":        {"HTTP/1.1 200 OK\r\n\r\n\n" + indented.String() + "\n\n" + indented.String() + "\n", false, 2},
-		"half a message":  {"HTTP/1.1 200 OK\r\n\r\n" + list + "\n" + list[:20] + "\n\n\n", true, 1},
-		"no JSON":         {"HTTP/1.1 200 OK\r\n\r\n" + list + "\n{", false, 1},
-		"another object":  {"HTTP/1.1 200 OK\r\n\r\n{}\n", false, 0},
-		"unknown state":   {"HTTP/1.1 200 OK\r\n\r\n" + strings.Replace(list, `"up"`, `"odd"`, 1) + "\n", false, 0},
-		"no address":      {"HTTP/1.1 200 OK\r\n\r\n" + strings.Replace(list, `127.0.0.1:1`, ``, 1) + "\n", false, 0},
-		"nothing":         {"", false, 0},
-		"not even a head": {"nonsense", false, 0},
+		"status 503":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, 0},
+		"end of stream":      {ok + catalog + "\n\n", false, 1},
+		"stalled":            {ok + catalog + "\n", true, 1},
+		"indented catalogs":  {ok + "\n" + indented + "\n\n" + indented + "\n", false, 2},
+		"partial catalog":    {ok + catalog + "\n" + catalog[:20] + "\n\n\n", true, 1},
+		"malformed JSON":     {ok + catalog + "\n{", false, 1},
+		"not a catalog":      {ok + "{}\n", false, 0},
+		"unknown lifecycle":  {ok + strings.Replace(catalog, `"up"`, `"odd"`, 1) + "\n", false, 0},
+		"no address":         {ok + strings.Replace(catalog, `127.0.0.1:1`, ``, 1) + "\n", false, 0},
+		"empty response":     {"", false, 0},
+		"malformed response": {"nonsense", false, 0},
 	} {
-		p := newStubServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
-			io.WriteString(conn, c.answer)
-			return c.stays
-		})
-		d := newDiscoveryClient(p.addr)
-		d.stallTimeout = 20 * time.Millisecond
-		told := 0
-		err := d.watch(context.Background(), 1, testTimeout, func(got Catalog) {
-			if told++; got.Generation != 7 || !got.Reset || len(got.Instances) != 1 {
-				t.Errorf("%s: %+v", name, got)
+		t.Run(name, func(t *testing.T) {
+			stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+				io.WriteString(c, test.response)
+				return test.keepOpen
+			})
+			client := NewClient(stub.Addr)
+			client.stallTimeout = 20 * time.Millisecond
+			catalogs := 0
+			err := client.Watch(context.Background(), 1, nettest.Timeout, func(got Catalog) {
+				catalogs++
+				if got.Generation != 7 || !got.Reset || len(got.Instances) != 1 {
+					t.Errorf("unexpected catalog %+v", got)
+				}
+			})
+			if err == nil || catalogs != test.catalogs {
+				t.Errorf("error %v after %d catalogs, want an error after %d", err, catalogs, test.catalogs)
 			}
 		})
-		if err == nil || told != c.told {
-			t.Errorf("%s: error %v, %d lists", name, err, told)
-		}
 	}
 }
 
-// A dead watch must be given up, and the next one begun, before its news counts as told after 6 s, also where the call
-// in between gets no answer, or an answer that begins and tells nothing.
+// A stalled watch must be detected and replaced by one that can bring the next catalog before the changes that it missed
+// count as notified, after 6 s. This holds even if the call in between gets no response at all, or a response that
+// begins and then stalls too.
 func TestStalledWatchIsDetected(t *testing.T) {
-	if watchStallTimeout <= 2*time.Second {
-		t.Errorf("%v, where an empty line comes every 2 s", watchStallTimeout)
+	if WatchStallTimeout <= 2*time.Second {
+		t.Errorf("a watch counts as stalled after %v, but heartbeats come every 2 s", WatchStallTimeout)
 	}
-	for kind, name := range map[balance.UpdateKind]string{balance.WatchFailed: "no answer", balance.WatchStalled: "half an answer"} {
+	const stallTimeout = float64(WatchStallTimeout / time.Millisecond)
+	for kind, name := range map[balance.UpdateKind]string{
+		balance.WatchFailed:  "no response",
+		balance.WatchStalled: "a response that stalls",
+	} {
 		worst := 0.0
 		for seed := range uint64(50) {
-			b := balance.New(balance.Config{Seed: seed, PeerCount: 8, Subscribe: true, PollInterval: 10000, Classes: make([]balance.Class, 1)})
+			b := balance.New(balance.Config{
+				Seed:         seed,
+				PeerCount:    8,
+				Subscribe:    true,
+				PollInterval: 10000,
+				Classes:      make([]balance.Class, 1),
+			})
 			b.Start(0)
-			spent, now := float64(watchStallTimeout/time.Millisecond), 0.0
-			tell := func(ev balance.Event) (at float64) {
-				actions, err := b.Handle(now, ev)
+			const now = 0.0
+			// handle returns the delay of the only action that follows the event.
+			handle := func(event balance.Event) (delay float64) {
+				actions, err := b.Handle(now, event)
 				if err != nil || len(actions) != 1 {
-					t.Fatalf("%v after %#v (%v)", actions, ev, err)
+					t.Fatalf("actions %v and error %v after %#v, want one action", actions, err, event)
 				}
 				return actions[0].Delay
 			}
-			ask := balance.Timer{Token: 1 << 60}
-			tell(ask)
-			spent += tell(balance.EndpointUpdate{Kind: balance.WatchStalled})
-			call := tell(ask)
+			poll := balance.Timer{Token: 1 << 60}
+			handle(poll)
+			elapsed := stallTimeout
+			elapsed += handle(balance.EndpointUpdate{Kind: balance.WatchStalled})
+			callDuration := handle(poll)
 			if kind == balance.WatchStalled {
-				call = float64(watchStallTimeout / time.Millisecond)
+				callDuration = stallTimeout
 			}
-			spent += call + tell(balance.EndpointUpdate{Kind: kind})
-			worst = max(worst, spent)
+			elapsed += callDuration + handle(balance.EndpointUpdate{Kind: kind})
+			worst = max(worst, elapsed)
 		}
 		if worst > 6000 {
-			t.Errorf("after %s the call that can tell is made only after %v ms", name, worst)
+			t.Errorf("after %s the next watch begins only after %v ms", name, worst)
 		}
 	}
 }
 
-// An answer that does not begin is not silence: discovery may be slow.
+// A watch whose response has not begun is not stalled, as discovery may be slow. It fails only at the timeout of the
+// call.
 func TestWatchWithoutResponse(t *testing.T) {
-	for answer, silence := range map[string]bool{"": false, "HTTP/1.1 200 OK\r\n\r\n": true} {
-		p := newStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-			io.WriteString(c, answer)
+	for response, wantStalled := range map[string]bool{"": false, "HTTP/1.1 200 OK\r\n\r\n": true} {
+		stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+			io.WriteString(c, response)
 			return true
 		})
-		d := newDiscoveryClient(p.addr)
-		d.stallTimeout = 20 * time.Millisecond
-		within := testTimeout
-		if !silence {
-			within = d.stallTimeout
+		client := NewClient(stub.Addr)
+		client.stallTimeout = 20 * time.Millisecond
+		timeout := nettest.Timeout
+		if !wantStalled {
+			timeout = client.stallTimeout
 		}
-		if err := d.watch(context.Background(), 1, within, nil); err == nil || errors.Is(err, errStalled) != silence {
-			t.Errorf("%q: %v", answer, err)
+		err := client.Watch(context.Background(), 1, timeout, nil)
+		if err == nil || errors.Is(err, ErrStalled) != wantStalled {
+			t.Errorf("response %q: error %v, want stalled: %v", response, err, wantStalled)
 		}
 	}
 }
 
+// Fetch returns the catalog of a well-formed response and an error for any other.
 func TestFetch(t *testing.T) {
-	text := catalogJSON(9, true, instanceJSON("s", "127.0.0.1:1", "up"))
-	p := newStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+text)
+	body := nettest.CatalogJSON(9, true, nettest.InstanceJSON("s", "127.0.0.1:1", "up"))
+	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+body)
 		return false
 	})
-	if c, err := newDiscoveryClient(p.addr).fetch(context.Background()); err != nil || c.Generation != 9 || len(c.Instances) != 1 {
-		t.Errorf("%+v %v", c, err)
+	catalog, err := NewClient(stub.Addr).Fetch(context.Background())
+	if err != nil || catalog.Generation != 9 || len(catalog.Instances) != 1 {
+		t.Errorf("catalog %+v, error %v, want generation 9 with one instance", catalog, err)
 	}
-	text = "{"
-	if _, err := newDiscoveryClient(p.addr).fetch(context.Background()); err == nil {
-		t.Error("garbage is taken for a list")
+	body = "{"
+	if _, err := NewClient(stub.Addr).Fetch(context.Background()); err == nil {
+		t.Error("no error for malformed JSON")
 	}
 }
--- /dev/null
+++ b/internal/downstream/listener_test.go
@@ -0,0 +1,59 @@
+package downstream
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"testing"
+
+	"pebblelift/internal/config"
+	"pebblelift/internal/nettest"
+)
+
+// At the limit on connections a further one is answered with 503 at once. When a connection closes, its slot is free
+// again.
+func TestExcessConnectionsAreRejected(t *testing.T) {
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln := newLimitedListener(inner, 1, config.DefaultReadAhead)
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
+	go server.Serve(ln)
+	defer server.Close()
+	h := &harness{t: t, addr: inner.Addr().String()}
+	first, firstReader := h.connect()
+	io.WriteString(first, idempotentRequest("1"))
+	h.readResponse(firstReader)
+	second, secondReader := h.connect()
+	io.WriteString(second, idempotentRequest("2"))
+	if resp, _ := h.readResponse(secondReader); resp.StatusCode != 503 || !resp.Close {
+		t.Errorf("second connection: status %d, close %v, want 503 and close", resp.StatusCode, resp.Close)
+	}
+	first.Close()
+	nettest.Eventually(t, "the slot is free", func() bool { return len(ln.slots) == 0 })
+	if resp, _ := h.request(idempotentRequest("3")); resp.StatusCode != 200 {
+		t.Errorf("third connection: status %d, want 200", resp.StatusCode)
+	}
+}
+
+// While many connections are being rejected, a further one is still rejected at once.
+func TestManyExcessConnections(t *testing.T) {
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln := newLimitedListener(inner, 0, config.DefaultReadAhead)
+	for range cap(ln.rejections) { // as if the clients of all rejections were slow to close
+		ln.rejections <- struct{}{}
+	}
+	go ln.Accept()
+	defer inner.Close()
+	h := &harness{t: t, addr: inner.Addr().String()}
+	for range 2 {
+		_, reader := h.connect()
+		if resp, _ := h.readResponse(reader); resp.StatusCode != 503 || !resp.Close {
+			t.Errorf("status %d, close %v, want 503 and close", resp.StatusCode, resp.Close)
+		}
+	}
+}
--- /dev/null
+++ b/internal/downstream/read_ahead_test.go
@@ -0,0 +1,133 @@
+package downstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"pebblelift/internal/config"
+	"pebblelift/internal/nettest"
+	"pebblelift/internal/upstream"
+)
+
+// A client's disconnect is noticed even if it sent bytes of a further request before.
+func TestClientCancelAfterPipelinedRequest(t *testing.T) {
+	for name, further := range map[string]string{
+		"one byte":        "G",
+		"partial request": idempotentRequest("u")[:70],
+		"whole request":   idempotentRequest("u"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			received := make(chan struct{}, 2)
+			stub := nettest.NewStubServer(t, func(net.Conn, *http.Request, string) bool {
+				received <- struct{}{}
+				return true
+			})
+			h := newHarnessWithEndpoints(t, stub.Addr)
+			c, _ := h.connect()
+			io.WriteString(c, idempotentRequest("t"))
+			nettest.Receive(t, received)
+			io.WriteString(c, further)
+			c.Close()
+			nettest.Receive(t, stub.Disconnects)
+			if stats := h.stats(); stats.ClientsCanceled != 1 || stats.Requests != 1 {
+				t.Errorf("%d requests, of which %d were canceled, want 1 and 1", stats.Requests, stats.ClientsCanceled)
+			}
+		})
+	}
+}
+
+// A client's disconnect is noticed behind many pipelined requests, even if some were answered before, and the memory of
+// what was read ahead is released. A client that keeps sending without waiting for responses counts as disconnected.
+func TestClientCancelBehindManyPipelinedRequests(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		responses int // before the disconnect
+		pipelined int // bytes of further requests
+		stays     bool
+	}{
+		{"many requests, no responses", 0, 100 << 10, false},
+		{"many requests, some responses", 3, 100 << 10, false},
+		{"few requests, some responses", 3, 2000, false},
+		{"more requests than are read ahead", 0, 1 << 20, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			received, release := make(chan struct{}, 1000), make(chan struct{})
+			var handled atomic.Int32
+			stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+				received <- struct{}{}
+				<-release
+				if int(handled.Add(1)) <= test.responses {
+					io.WriteString(c, nettest.OKResponse)
+				}
+				return true
+			})
+			h := newHarnessWithEndpoints(t, stub.Addr)
+			c, reader := h.connect()
+			io.WriteString(c, idempotentRequest("t"))
+			nettest.Receive(t, received)
+			var pipelined strings.Builder
+			for i := 0; pipelined.Len() < test.pipelined; i++ {
+				pipelined.WriteString(idempotentRequest(fmt.Sprint("u", i)))
+			}
+			written := make(chan struct{})
+			go func() {
+				io.WriteString(c, pipelined.String())
+				close(written)
+			}()
+			if !test.stays {
+				nettest.Receive(t, written)
+			}
+			close(release)
+			for range test.responses {
+				nettest.Receive(t, received) // the next request is in flight
+				if !test.stays {
+					h.readResponse(reader)
+				}
+			}
+			if !test.stays {
+				c.Close()
+			}
+			nettest.Eventually(t, "the disconnect is noticed", func() bool {
+				stats := h.stats()
+				return stats.ClientsCanceled == 1 && stats.OpenRequests == 0
+			})
+			nettest.Eventually(t, "the read-ahead budget is released", func() bool {
+				return h.server.listener.Load().readAheadBudget.Load() == config.DefaultReadAhead
+			})
+			if n := int(stub.Requests.Load()); n != test.responses+1 {
+				t.Errorf("%d requests were forwarded, want %d", n, test.responses+1)
+			}
+		})
+	}
+}
+
+// A request that was read ahead, even if only in part, is served once the one before it is answered.
+func TestPipelinedRequestDuringResponse(t *testing.T) {
+	received, release := make(chan struct{}, 1), make(chan struct{})
+	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
+		if req.Header.Get("X-Trace-Id") == "t" {
+			received <- struct{}{}
+			<-release
+		}
+		io.WriteString(c, nettest.OKResponse)
+		return true
+	})
+	h := newHarnessWithEndpoints(t, stub.Addr)
+	c, reader := h.connect()
+	head := strings.Replace(nonIdempotentRequest("u"), "Content-Length: 0\r\n\r\n",
+		fmt.Sprintf("Content-Length: %d\r\n\r\n", upstream.MaxBodySize), 1)
+	io.WriteString(c, idempotentRequest("t")+head[:50])
+	nettest.Receive(t, received)
+	io.WriteString(c, head[50:]+strings.Repeat("x", upstream.MaxBodySize))
+	close(release)
+	for range 2 {
+		if resp, body := h.readResponse(reader); resp.StatusCode != 200 || body != "hi" {
+			t.Errorf("status %d, body %q, want 200 and hi", resp.StatusCode, body)
+		}
+	}
+}
--- /dev/null
+++ b/internal/downstream/request_test.go
@@ -0,0 +1,86 @@
+package downstream
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"pebblelift/internal/nettest"
+)
+
+// An invalid request is answered with a 4xx status and not forwarded to any endpoint.
+func TestInvalidRequests(t *testing.T) {
+	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
+	h := newHarnessWithEndpoints(t, stub.Addr)
+	noTimeout := " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: t\r\n"
+	head := noTimeout + "X-Expires-In: 9000m\r\n"
+	for name, test := range map[string]struct {
+		request string
+		status  int
+	}{
+		"unknown class":     {"GET /odd" + head + "X-Qos: odd\r\n\r\n", 400},
+		"no class":          {"GET /look" + head + "\r\n", 400},
+		"path not of class": {"GET /book" + head + "X-Qos: look\r\n\r\n", 400},
+		"no trace ID": {
+			"GET /look HTTP/1.1\r\nHost: app.svc\r\nX-Qos: look\r\nX-Expires-In: 9000m\r\n\r\n", 400,
+		},
+		"POST of an idempotent class": {"POST /look" + head + "X-Qos: look\r\nContent-Length: 0\r\n\r\n", 400},
+		"GET with an idempotency key": {"GET /book" + head + "X-Qos: book\r\nIdempotency-Key: k\r\n\r\n", 400},
+		"no idempotency key":          {"POST /book" + head + "X-Qos: book\r\nContent-Length: 0\r\n\r\n", 400},
+		"timeout without a unit":      {"GET /look" + noTimeout + "X-Qos: look\r\nX-Expires-In: 9\r\n\r\n", 400},
+		"negative timeout":            {"GET /look" + noTimeout + "X-Qos: look\r\nX-Expires-In: -9m\r\n\r\n", 400},
+		"timeout not a number":        {"GET /look" + noTimeout + "X-Qos: look\r\nX-Expires-In: NaNm\r\n\r\n", 400},
+		"no timeout":                  {"GET /look" + noTimeout + "X-Qos: look\r\n\r\n", 400},
+		"empty timeout":               {"GET /look" + noTimeout + "X-Qos: look\r\nX-Expires-In: \r\n\r\n", 400},
+		"timeout with an exponent":    {"GET /look" + noTimeout + "X-Qos: look\r\nX-Expires-In: 1e3m\r\n\r\n", 400},
+		"two timeouts":                {"GET /look" + head + "X-Qos: look\r\nX-Expires-In: 8000m\r\n\r\n", 400},
+		"two trace IDs":               {"GET /look" + head + "X-Qos: look\r\nX-Trace-Id: u\r\n\r\n", 400},
+		"two idempotency keys": {
+			"POST /book" + head + "X-Qos: book\r\nIdempotency-Key: k\r\nIdempotency-Key: l\r\n" +
+				"Content-Length: 0\r\n\r\n", 400,
+		},
+		"GET with a body": {"GET /look" + head + "X-Qos: look\r\nContent-Length: 2\r\n\r\nhi", 400},
+		"GET with a chunked body": {
+			"GET /look" + head + "X-Qos: look\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 400,
+		},
+		"oversized body": {"POST /once" + head + "X-Qos: once\r\nContent-Length: 65537\r\n\r\n", 413},
+		"oversized chunked body": {
+			"POST /once" + head + "X-Qos: once\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" +
+				strings.Repeat("x", 65537) + "\r\n0\r\n\r\n", 413,
+		},
+		"not HTTP": {"nonsense\r\n\r\n", 400},
+	} {
+		if resp, _ := h.request(test.request); resp.StatusCode != test.status {
+			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, test.status)
+		}
+	}
+	if n := stub.Requests.Load(); n != 0 {
+		t.Errorf("%d requests were forwarded, want none", n)
+	}
+	if resp, _ := h.request(idempotentRequest("t")); resp.StatusCode != 200 {
+		t.Errorf("valid request afterwards: status %d, want 200", resp.StatusCode)
+	}
+}
+
+// The timeout for reading a body does not apply to the response: a request may take longer.
+func TestSlowResponseAfterPromptBody(t *testing.T) {
+	release := make(chan struct{})
+	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		<-release
+		io.WriteString(c, nettest.OKResponse)
+		return true
+	})
+	const bodyTimeout = 500 * time.Millisecond
+	h := newHarness(t, nettest.ClosedAddress(t), nettest.CachedCatalogJSON(stub.Addr), func(s *Server) {
+		s.bodyTimeout = bodyTimeout
+	})
+	time.AfterFunc(bodyTimeout+100*time.Millisecond, func() { close(release) })
+	request := strings.Replace(nonIdempotentRequest("t"),
+		"Content-Length: 0\r\n\r\n", "Content-Length: 5\r\n\r\nhello", 1)
+	if resp, _ := h.request(request); resp.StatusCode != 200 {
+		t.Errorf("status %d, want 200", resp.StatusCode)
+	}
+}
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -13,36 +13,55 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"pebblelift/internal/clock"
+	"pebblelift/internal/config"
+	"pebblelift/internal/discovery"
+	"pebblelift/internal/nettest"
 )
 
 const (
-	fleetSize = 300
-	turn      = 8 * time.Millisecond // of discovery, for each call
-	giveUp    = 3 * time.Second      // a call that would wait for longer fails
+	fleetSize       = 300
+	serviceTime     = 8 * time.Millisecond // of discovery, for each call
+	maxQueueingTime = 3 * time.Second      // a call that would have to wait longer fails
+)
+
+// outageKind says what discovery does with calls.
+type outageKind string
+
+const (
+	noOutage           outageKind = ""
+	refusesConnections outageKind = "refuses connections"
+	closesConnections  outageKind = "closes connections"
+	neverResponds      outageKind = "never responds" // until the outage ends
+	sendsHeadersOnly   outageKind = "sends response headers only"
 )
 
-// fleetDiscovery is a discovery that takes the calls of many sidecars in turn, in virtual time. While it is down, it does
-// with calls what down says.
+// fleetDiscovery is a discovery service that serves the calls of many sidecars one after the other, in virtual time.
 type fleetDiscovery struct {
-	down  string // "": up; "refuse", "reset", "hang" (until it is back) or "head": a head and no more
-	late  time.Duration
-	list  string
-	free  time.Time         // when it has answered all calls so far
-	told  map[int]time.Time // when each sidecar got the present list
-	open  map[net.Conn]bool
-	ended chan struct{} // the end of the present state
-	mu    sync.Mutex
+	responseDelay time.Duration
+
+	mu           sync.Mutex
+	outage       outageKind
+	catalog      string
+	busyUntil    time.Time         // when all calls so far have been served
+	notifiedAt   map[int]time.Time // when each sidecar got the present catalog, by peer index
+	open         map[net.Conn]bool
+	stateChanged chan struct{} // closed by the next setState
 }
 
-// turnTo brings another state, and a new list. All open connections end.
-func (d *fleetDiscovery) turnTo(down, list string) {
+// setState begins or ends an outage and sets the catalog. All open connections are closed.
+func (d *fleetDiscovery) setState(outage outageKind, catalog string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down, d.list, d.told, d.free = down, list, map[int]time.Time{}, time.Now()
-	if d.ended != nil {
-		close(d.ended)
+	d.outage = outage
+	d.catalog = catalog
+	d.notifiedAt = map[int]time.Time{}
+	d.busyUntil = time.Now()
+	if d.stateChanged != nil {
+		close(d.stateChanged)
 	}
-	d.ended = make(chan struct{})
+	d.stateChanged = make(chan struct{})
 	for c := range d.open {
 		c.Close()
 	}
@@ -50,166 +69,210 @@
 }
 
 // dial connects a sidecar.
-func (d *fleetDiscovery) dial(ctx context.Context, number int) (net.Conn, error) {
+func (d *fleetDiscovery) dial(peerIndex int) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.down == "refuse" {
-		return nil, errors.New("refused")
+	if d.outage == refusesConnections {
+		return nil, errors.New("connection refused")
 	}
-	theirs, ours := net.Pipe()
-	d.open[ours] = true
-	go d.serve(ours, number, d.down, d.ended)
-	return theirs, nil
+	client, server := net.Pipe()
+	d.open[server] = true
+	go d.serve(server, peerIndex, d.outage, d.stateChanged)
+	return client, nil
 }
 
-func (d *fleetDiscovery) serve(c net.Conn, number int, down string, ended chan struct{}) {
+// serve serves the one call on a connection.
+func (d *fleetDiscovery) serve(c net.Conn, peerIndex int, outage outageKind, stateChanged <-chan struct{}) {
 	defer c.Close()
-	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil || down == "reset" {
+	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil || outage == closesConnections {
 		return
 	}
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	gone := make(chan struct{})
-	go func() { io.Copy(io.Discard, c); close(gone) }()
-	pause := func(t time.Duration) bool {
+	disconnected := make(chan struct{})
+	go func() {
+		io.Copy(io.Discard, c)
+		close(disconnected)
+	}()
+	// wait reports whether the call still stands after a while.
+	wait := func(duration time.Duration) bool {
 		select {
-		case <-time.After(t):
+		case <-time.After(duration):
 			return true
-		case <-ended:
-		case <-gone:
+		case <-stateChanged:
+		case <-disconnected:
 		}
 		return false
 	}
-	if down == "head" {
+	if outage == sendsHeadersOnly {
 		io.WriteString(c, head)
 	}
-	if down != "" {
-		pause(time.Hour)
+	if outage != noOutage {
+		wait(time.Hour)
 		return
 	}
-	d.mu.Lock()
-	now := time.Now()
-	if d.free.Before(now) {
-		d.free = now
-	}
-	wait, list := d.free.Sub(now)+turn, d.list
-	if wait <= giveUp {
-		d.free = d.free.Add(turn)
-	}
-	d.mu.Unlock()
-	if wait > giveUp {
-		pause(giveUp)
+	catalog, queueingTime := d.enqueueCall()
+	if queueingTime > maxQueueingTime {
+		wait(maxQueueingTime)
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	if !pause(wait + d.late) {
+	if !wait(queueingTime + d.responseDelay) {
 		return
 	}
-	if _, err := fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", head, len(list)+1, list); err != nil {
+	if _, err := fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", head, len(catalog)+1, catalog); err != nil {
 		return
 	}
+	d.markNotified(peerIndex, catalog)
+	for wait(2 * time.Second) {
+		io.WriteString(c, "1\r\n\n\r\n") // a heartbeat
+	}
+}
+
+// enqueueCall puts a call behind those that are waiting. It returns the catalog for the response and the time until the
+// call has been served. A call that would have to wait for more than maxQueueingTime is not queued.
+func (d *fleetDiscovery) enqueueCall() (catalog string, queueingTime time.Duration) {
 	d.mu.Lock()
-	if _, before := d.told[number]; !before && d.list == list {
-		d.told[number] = time.Now()
+	defer d.mu.Unlock()
+	now := time.Now()
+	if d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	d.mu.Unlock()
-	for pause(2 * time.Second) {
-		io.WriteString(c, "1\r\n\n\r\n")
+	queueingTime = d.busyUntil.Sub(now) + serviceTime
+	if queueingTime <= maxQueueingTime {
+		d.busyUntil = d.busyUntil.Add(serviceTime)
+	}
+	return d.catalog, queueingTime
+}
+
+// markNotified records when a sidecar first got a catalog, if it is still the present one.
+func (d *fleetDiscovery) markNotified(peerIndex int, catalog string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, before := d.notifiedAt[peerIndex]; !before && d.catalog == catalog {
+		d.notifiedAt[peerIndex] = time.Now()
 	}
 }
 
-// lists is how many sidecars have the present list, and when the last one got it.
-func (d *fleetDiscovery) lists() (n int, last time.Time) {
+// notified returns how many sidecars have the present catalog, and when the last of them got it.
+func (d *fleetDiscovery) notified() (n int, last time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, at := range d.told {
+	for _, at := range d.notifiedAt {
 		if at.After(last) {
 			last = at
 		}
 	}
-	return len(d.told), last
+	return len(d.notifiedAt), last
 }
 
-// start runs a fleet of sidecars, without their clients, until the end of the test.
-func (d *fleetDiscovery) start(t *testing.T, known string) (fleet []*Loop, stop func()) {
+// startFleet runs the event loops of a fleet of sidecars until stop is called.
+func (d *fleetDiscovery) startFleet(t *testing.T, cachedCatalog string) (fleet []*Loop, stop func()) {
 	t.Helper()
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	for n := range fleetSize {
+	for i := range fleetSize {
 		settings := fmt.Sprintf(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 1000}],
-			"discovery": "subscribe", "my_number": %d, "peers_total": %d, "rules": {"ask_within_ms": 20000}}`, n, fleetSize)
-		cfg, err := ParseConfig([]byte(fmt.Sprintf(
-			`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"%x","known":%s,"settings":%s}`, n+1, known, settings)))
+			"discovery": "subscribe", "my_number": %d, "peers_total": %d, "rules": {"ask_within_ms": 20000}}`,
+			i, fleetSize)
+		raw := fmt.Sprintf(
+			`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"%x","known":%s,"settings":%s}`,
+			i+1, cachedCatalog, settings)
+		cfg, err := config.Parse([]byte(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := NewLoop(NewClock(), &cfg, slog.New(slog.DiscardHandler))
-		l.discovery.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return d.dial(ctx, n)
-		}
+		l := NewLoop(clock.New(), &cfg, slog.New(slog.DiscardHandler))
+		dial := func(context.Context, string, string) (net.Conn, error) { return d.dial(i) }
+		l.discovery = discovery.NewClientWithDialer(cfg.Discovery, dial)
 		fleet = append(fleet, l)
 		running.Go(func() { l.Run(ctx) })
 	}
 	return fleet, func() {
-		end()
+		cancel()
 		running.Wait()
-		d.turnTo("refuse", "")
+		d.setState(refusesConnections, "")
 	}
 }
 
-// However long discovery was away and whatever it did with calls meanwhile, each of 300 sidecars that call it in turn has
-// the list, and what changed, within 6 s of its return.
+// However long an outage of discovery lasts and whatever discovery does with calls meanwhile, all 300 sidecars are
+// notified of the changes within 6 s of its end, although discovery serves their calls one after the other.
 func TestFleetReceivesCatalogSoonAfterDiscoveryRecovers(t *testing.T) {
-	for _, down := range []string{"refuse", "reset", "hang", "head"} {
-		for _, away := range []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, 20 * time.Second} {
-			synctest.Test(t, func(t *testing.T) {
-				d := &fleetDiscovery{late: 100 * time.Millisecond}
-				d.turnTo("", catalogJSON(1, true, instanceJSON("s-0", "127.0.0.1:1", "up")))
-				_, stop := d.start(t, cachedCatalogJSON("127.0.0.1:1"))
-				defer stop()
-				time.Sleep(20 * time.Second)
-				if n, _ := d.lists(); n < fleetSize {
-					t.Errorf("%d of %d sidecars have a list after 20 s", n, fleetSize)
-				}
-				d.turnTo(down, "")
-				time.Sleep(away)
-				d.turnTo("", catalogJSON(2, true, instanceJSON("s-0", "127.0.0.1:1", "draining")))
-				back := time.Now()
-				time.Sleep(30 * time.Second)
-				n, at := d.lists()
-				if last := at.Sub(back); n < fleetSize || last > 6*time.Second {
-					t.Errorf("%s for %v: %d of %d sidecars have the list, the last %v after the return", down, away, n, fleetSize, last)
-				}
+	for _, outage := range []outageKind{refusesConnections, closesConnections, neverResponds, sendsHeadersOnly} {
+		for _, duration := range []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, 20 * time.Second} {
+			t.Run(fmt.Sprintf("%s for %v", outage, duration), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					testFleetAfterOutage(t, outage, duration)
+				})
 			})
 		}
 	}
 }
 
-// All processes of a fleet that start at once are ready within 10 s, whatever discovery does and whatever they know.
+func testFleetAfterOutage(t *testing.T, outage outageKind, duration time.Duration) {
+	t.Helper()
+	up := nettest.CatalogJSON(1, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "up"))
+	draining := nettest.CatalogJSON(2, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "draining"))
+	d := &fleetDiscovery{responseDelay: 100 * time.Millisecond}
+	d.setState(noOutage, up)
+	_, stop := d.startFleet(t, nettest.CachedCatalogJSON("127.0.0.1:1"))
+	defer stop()
+	time.Sleep(20 * time.Second)
+	if n, _ := d.notified(); n < fleetSize {
+		t.Errorf("before the outage %d of %d sidecars have the catalog after 20 s", n, fleetSize)
+	}
+	d.setState(outage, "")
+	time.Sleep(duration)
+	d.setState(noOutage, draining)
+	recoveredAt := time.Now()
+	time.Sleep(30 * time.Second)
+	n, last := d.notified()
+	if delay := last.Sub(recoveredAt); n < fleetSize || delay > 6*time.Second {
+		t.Errorf("%d of %d sidecars have the catalog, the last %v after the outage, want all within 6 s",
+			n, fleetSize, delay)
+	}
+}
+
+// Of a fleet of sidecars that start at once at least nine in ten are ready within 10 s, whatever discovery does and
+// whatever their cached catalogs hold.
 func TestReadyWithinTimeout(t *testing.T) {
-	for _, down := range []string{"", "refuse", "hang", "head"} {
-		for name, known := range map[string]string{
-			"a list": cachedCatalogJSON("127.0.0.1:1"), "an empty one": catalogJSON(1, true), "none": "null",
-			"an old one": catalogJSON(1, true, instanceJSON("gone", "127.0.0.1:2", "draining")),
-		} {
-			synctest.Test(t, func(t *testing.T) {
-				d := &fleetDiscovery{}
-				d.turnTo(down, catalogJSON(2, true, instanceJSON("s-0", "127.0.0.1:1", "up")))
-				if down == "" {
-					d.late = 20 * time.Second // overrun: none gets an answer in time
-				}
-				fleet, stop := d.start(t, known)
-				defer stop()
-				time.Sleep(10 * time.Second)
-				ready := 0
-				for _, l := range fleet {
-					if l.ready.Load() {
-						ready++
-					}
-				}
-				if ready < fleetSize*9/10 {
-					t.Errorf("discovery %q, known %s: %d of %d are ready after 10 s", down, name, ready, fleetSize)
-				}
+	cachedCatalogs := map[string]string{
+		"an endpoint":          nettest.CachedCatalogJSON("127.0.0.1:1"),
+		"no endpoints":         nettest.CatalogJSON(1, true),
+		"nothing":              "null",
+		"an outdated endpoint": nettest.CatalogJSON(1, true, nettest.InstanceJSON("gone", "127.0.0.1:2", "draining")),
+	}
+	for _, outage := range []outageKind{noOutage, refusesConnections, neverResponds, sendsHeadersOnly} {
+		for cached, cachedCatalog := range cachedCatalogs {
+			behavior := string(outage)
+			if outage == noOutage {
+				behavior = "is overloaded"
+			}
+			t.Run(fmt.Sprintf("discovery %s, the cache holds %s", behavior, cached), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					testFleetBecomesReady(t, outage, cachedCatalog)
+				})
 			})
 		}
 	}
 }
+
+func testFleetBecomesReady(t *testing.T, outage outageKind, cachedCatalog string) {
+	t.Helper()
+	d := &fleetDiscovery{}
+	d.setState(outage, nettest.CatalogJSON(2, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "up")))
+	if outage == noOutage {
+		d.responseDelay = 20 * time.Second // overloaded: no call gets a response in time
+	}
+	fleet, stop := d.startFleet(t, cachedCatalog)
+	defer stop()
+	time.Sleep(10 * time.Second)
+	ready := 0
+	for _, l := range fleet {
+		if l.ready.Load() {
+			ready++
+		}
+	}
+	if ready < fleetSize*9/10 {
+		t.Errorf("%d of %d sidecars are ready after 10 s, want at least 9 in 10", ready, fleetSize)
+	}
+}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
-// Package simwire translates the simulator's binary frames to the types
-// of package balance and back. It takes no decisions.
+// Package simwire translates the simulator's binary frames to the types of package balance and back. It takes no
+// decisions.
 package simwire
 
 import (
@@ -29,302 +29,269 @@
 )
 
 const (
-	headerSize = 16
-	entrySize  = 23
-	maxFrame   = 1 << 28 // far above any batch of the simulator
-	maxTables  = 16
+	frameHeaderSize = 16
+	tableEntrySize  = 23
+	maxFrameSize    = 1 << 28 // far above any batch of the simulator
+	maxTables       = 16
 )
 
-var results = map[uint16]balance.Result{
+// The bits of a request record.
+const (
+	requestHasWorkHint = 1 << iota
+	requestIsRetry
+	requestMutates
+)
+
+var lifecycleCodes = map[uint8]balance.Lifecycle{0: balance.Ready, 1: balance.Removed, 2: balance.Draining}
+
+var updateCodes = map[uint8]balance.UpdateKind{
+	0: balance.Snapshot, 1: balance.CachedSnapshot, 2: balance.WatchFailed, 3: balance.Delta,
+}
+
+var resultCodes = map[uint16]balance.Result{
 	0: balance.OK, 13: balance.ServerError, 8: balance.Rejected, 4: balance.TimedOut,
 	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Canceled, 9: balance.NotSent,
 }
 
-// Begin starts an instance; Settings is the raw profile for ParseSettings.
+// InstanceStart starts an instance; Settings is the raw settings object.
 type InstanceStart struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// Down says that an instance was killed.
+// InstanceDown says that an instance was killed.
 type InstanceDown struct{}
 
-// Record is one event for one instance: a Begin, a Down or a balance.Event.
+// Record is one event for one instance: an InstanceStart, an InstanceDown or a balance.Event.
 type Record struct {
 	Instance uint16
 	Event    any
 }
 
-// Reader reads frames. Server tables live across frames.
+// Reader reads frames. Endpoint tables live across frames.
 type Reader struct {
 	in       io.Reader
 	buf      bytes.Buffer
 	tables   [maxTables][]balance.Endpoint
 	hasTable [maxTables]bool
-	report   []float32
+	report   []float32 // reused for each record
 }
 
 // NewReader returns a reader of the frames of in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock.
-// It returns io.EOF at an end of input between frames. Slices in events are valid
-// during the call only.
+// Read hands the events of the next frame to handle, in order, with the frame's clock. It returns io.EOF at an end of
+// input between frames. Slices in events are valid during the call only.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
-	var head [headerSize]byte
-	if _, err := io.ReadFull(r.in, head[:]); err != nil {
-		if err == io.EOF {
-			return io.EOF
-		}
-		return fmt.Errorf("frame header cut short: %w", err)
-	}
-	count := binary.BigEndian.Uint32(head[0:])
-	size := binary.BigEndian.Uint32(head[4:])
-	clock := math.Float64frombits(binary.BigEndian.Uint64(head[8:]))
-	if size < headerSize || size > maxFrame {
-		return fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrame)
-	}
-	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return fmt.Errorf("frame clock is %v", clock)
-	}
-	r.buf.Reset()
-	// The buffer grows with what arrives, not with what the header claims.
-	if n, err := io.CopyN(&r.buf, r.in, int64(size-headerSize)); err != nil {
-		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
+	count, clock, err := r.readFrame()
+	if err != nil {
+		return err
 	}
 	f := recordReader{data: r.buf.Bytes()}
 	for i := uint32(0); i < count; i++ {
-		at := f.pos
+		at := f.pos + frameHeaderSize
 		rec, err := r.record(&f)
-		if err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i, at+headerSize, err)
+		if err == nil && rec.Event != nil {
+			err = handle(clock, rec)
 		}
-		if rec.Event == nil {
-			continue
-		}
-		if err := handle(clock, rec); err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i, at+headerSize, err)
+		if err != nil {
+			return fmt.Errorf("record %d at byte %d: %w", i, at, err)
 		}
 	}
-	if f.pos != len(f.data) {
-		return fmt.Errorf("%d bytes after the last of %d records", len(f.data)-f.pos, count)
+	if f.remaining() != 0 {
+		return fmt.Errorf("%d bytes after the last of %d records", f.remaining(), count)
 	}
 	return nil
 }
 
+// readFrame reads the next frame's records into the buffer, which grows with what arrives, not with what the header
+// claims.
+func (r *Reader) readFrame() (count uint32, clock float64, err error) {
+	var head [frameHeaderSize]byte
+	_, err = io.ReadFull(r.in, head[:])
+	if errors.Is(err, io.EOF) {
+		return 0, 0, io.EOF
+	}
+	if err != nil {
+		return 0, 0, fmt.Errorf("truncated frame header: %w", err)
+	}
+	count = binary.BigEndian.Uint32(head[0:])
+	size := binary.BigEndian.Uint32(head[4:])
+	clock = math.Float64frombits(binary.BigEndian.Uint64(head[8:]))
+	if size < frameHeaderSize || size > maxFrameSize {
+		return 0, 0, fmt.Errorf("frame length %d: want %d to %d", size, frameHeaderSize, maxFrameSize)
+	}
+	if math.IsNaN(clock) || math.IsInf(clock, 0) {
+		return 0, 0, fmt.Errorf("frame clock is %v", clock)
+	}
+	r.buf.Reset()
+	if n, err := io.CopyN(&r.buf, r.in, int64(size-frameHeaderSize)); err != nil {
+		return 0, 0, fmt.Errorf("frame of %d bytes truncated after %d: %w", size, n+frameHeaderSize, err)
+	}
+	return count, clock, nil
+}
+
 func (r *Reader) record(f *recordReader) (Record, error) {
-	code, first := f.u16(), f.u16()
+	code, instance := f.u16(), f.u16()
 	if f.truncated {
-		return Record{}, errTruncated
+		return Record{}, ErrTruncated
 	}
-	rec := Record{Instance: first}
-	var err error
+	event, err := r.event(code, instance, f)
+	if err == nil && f.truncated {
+		err = ErrTruncated
+	}
+	if err != nil {
+		return Record{}, fmt.Errorf("event code %d: %w", code, err)
+	}
+	return Record{Instance: instance, Event: event}, nil
+}
+
+// event returns no event for a record that is a table, whose number stands in place of the instance.
+func (r *Reader) event(code, instance uint16, f *recordReader) (any, error) {
 	switch code {
 	case codeEndpointTable:
-		err = r.endpointTable(f, first)
+		return nil, r.endpointTable(f, instance)
 	case codeInstanceStart:
 		seed := f.u64()
-		rec.Event = InstanceStart{Seed: seed, Settings: f.bytes(f.u32())}
+		size := f.u32()
+		return InstanceStart{Seed: seed, Settings: f.bytes(size)}, nil
 	case codeInstanceDown:
-		rec.Event = InstanceDown{}
+		return InstanceDown{}, nil
 	case codeEndpointUpdate:
-		rec.Event, err = r.endpointUpdate(f)
+		return r.endpointUpdate(f)
 	case codeRequest:
-		rec.Event = request(f)
+		return request(f), nil
 	case codeTimer:
-		rec.Event = balance.Timer{Token: f.u64()}
+		return balance.Timer{Token: f.u64()}, nil
 	case codeResponseStarted:
-		ev := balance.ResponseStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Endpoint: f.endpointID()}
-		ev.Latency = f.f64()
-		rec.Event = ev
+		return responseStarted(f), nil
 	case codeAttemptResult:
-		rec.Event, err = r.attemptResult(f)
+		return r.attemptResult(f)
 	case codeClientCanceled:
-		rec.Event = balance.ClientCanceled{Request: balance.RequestID(f.u64())}
+		return balance.ClientCanceled{Request: f.requestID()}, nil
 	case codeHealthCheckResult:
-		rec.Event, err = r.healthCheckResult(f)
+		return r.healthCheckResult(f)
 	case codeGossip:
-		from := int(f.u16())
-		rec.Event = balance.GossipMessage{Sender: from, Data: f.bytes(uint32(f.u16()))}
+		sender := int(f.u16())
+		size := uint32(f.u16())
+		return balance.GossipMessage{Sender: sender, Data: f.bytes(size)}, nil
 	default:
-		return rec, fmt.Errorf("unknown event code %d", code)
-	}
-	if err == nil && f.truncated {
-		err = errTruncated
+		return nil, errors.New("unknown event code")
 	}
-	if err != nil {
-		return rec, fmt.Errorf("event code %d: %w", code, err)
-	}
-	return rec, nil
 }
 
 func (r *Reader) endpointTable(f *recordReader, table uint16) error {
 	if table >= maxTables {
-		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
+		return fmt.Errorf("endpoint table %d: want 0 to %d", table, maxTables-1)
 	}
 	n := f.u32()
-	if uint64(n)*entrySize > uint64(len(f.data)-f.pos) {
-		return fmt.Errorf("%d entries: %w", n, errTruncated)
+	if uint64(n)*tableEntrySize > uint64(f.remaining()) {
+		return fmt.Errorf("%d entries: %w", n, ErrTruncated)
 	}
-	list := make([]balance.Endpoint, n)
-	for i := range list {
-		s := &list[i]
-		s.StartedAt = f.f64()
-		switch state := f.u8(); state {
-		case 0:
-			s.Lifecycle = balance.Ready
-		case 2:
-			s.Lifecycle = balance.Draining
-		case 1:
-			s.Lifecycle = balance.Removed
-		default:
-			return fmt.Errorf("entry %d: unknown condition %d", i, state)
+	endpoints := make([]balance.Endpoint, n)
+	for i := range endpoints {
+		e, err := readEndpoint(f)
+		if err != nil {
+			return fmt.Errorf("entry %d: %w", i, err)
 		}
-		s.ID = f.endpointID()
-		s.NominalCapacity = float64(f.f32())
-		s.Cell, s.Zone, s.MachineType = int(f.u16()), int(f.u8()), int(f.u8())
+		endpoints[i] = e
 	}
-	r.tables[table], r.hasTable[table] = list, true
+	r.tables[table], r.hasTable[table] = endpoints, true
 	return nil
 }
 
+func readEndpoint(f *recordReader) (balance.Endpoint, error) {
+	e := balance.Endpoint{StartedAt: f.f64()}
+	code := f.u8()
+	lifecycle, known := lifecycleCodes[code]
+	if !known {
+		return e, fmt.Errorf("unknown lifecycle %d", code)
+	}
+	e.Lifecycle = lifecycle
+	e.ID = f.endpointID()
+	e.NominalCapacity = float64(f.f32())
+	e.Cell = int(f.u16())
+	e.Zone = int(f.u8())
+	e.MachineType = int(f.u8())
+	return e, nil
+}
+
 func (r *Reader) endpointUpdate(f *recordReader) (any, error) {
-	how, _, table := f.u8(), f.u32(), f.u16()
+	code := f.u8()
+	f.u32() // the list's generation
+	table := f.u16()
 	if f.truncated {
-		return nil, errTruncated
+		return nil, ErrTruncated
 	}
-	ev := balance.EndpointUpdate{}
-	switch how {
-	case 0:
-		ev.Kind = balance.Snapshot
-	case 1:
-		ev.Kind = balance.CachedSnapshot
-	case 3:
-		ev.Kind = balance.Delta
-	case 2:
-		return balance.EndpointUpdate{Kind: balance.WatchFailed}, nil
-	default:
-		return nil, fmt.Errorf("unknown list kind %d", how)
+	kind, known := updateCodes[code]
+	if !known {
+		return nil, fmt.Errorf("unknown list kind %d", code)
+	}
+	if kind == balance.WatchFailed {
+		return balance.EndpointUpdate{Kind: kind}, nil
 	}
 	if table >= maxTables || !r.hasTable[table] {
-		return nil, fmt.Errorf("server table %d was never sent", table)
+		return nil, fmt.Errorf("endpoint table %d was never sent", table)
 	}
-	ev.Endpoints = r.tables[table]
-	return ev, nil
+	return balance.EndpointUpdate{Kind: kind, Endpoints: r.tables[table]}, nil
 }
 
 func request(f *recordReader) balance.Request {
-	ev := balance.Request{ID: balance.RequestID(f.u64()), Tenant: int(f.u16())}
-	hint, bits := f.f64(), f.u16()
-	if bits&1 != 0 {
-		ev.WorkHint = hint
+	r := balance.Request{ID: f.requestID(), Tenant: int(f.u16())}
+	workHint, bits := f.f64(), f.u16()
+	if bits&requestHasWorkHint != 0 {
+		r.WorkHint = workHint
+	}
+	r.IsRetry = bits&requestIsRetry != 0
+	r.Mutates = bits&requestMutates != 0
+	r.AffinityKey = f.u64()
+	r.Timeout = f.f64()
+	r.Class = int(f.u16())
+	return r
+}
+
+func responseStarted(f *recordReader) balance.ResponseStarted {
+	return balance.ResponseStarted{
+		Request:  f.requestID(),
+		Attempt:  int(f.u8()),
+		Endpoint: f.endpointID(),
+		Latency:  f.f64(),
 	}
-	ev.IsRetry, ev.Mutates = bits&2 != 0, bits&4 != 0
-	ev.AffinityKey, ev.Timeout = f.u64(), f.f64()
-	ev.Class = int(f.u16())
-	return ev
 }
 
 func (r *Reader) attemptResult(f *recordReader) (any, error) {
-	ev := balance.AttemptResult{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Endpoint: f.endpointID()}
+	event := balance.AttemptResult{Request: f.requestID(), Attempt: int(f.u8()), Endpoint: f.endpointID()}
 	code := f.u16()
-	ev.Latency, ev.RequestClosed = f.f64(), f.u8() != 0
-	ev.LoadReport = r.floats(f)
+	event.Latency = f.f64()
+	event.RequestClosed = f.u8() != 0
+	event.LoadReport = r.loadReport(f)
 	var err error
-	ev.Result, err = attemptOutcome(code, f)
-	return ev, err
+	event.Result, err = result(code, f)
+	return event, err
 }
 
 func (r *Reader) healthCheckResult(f *recordReader) (any, error) {
-	ev := balance.HealthCheckResult{Latency: f.f64()}
+	event := balance.HealthCheckResult{Latency: f.f64()}
 	code := f.u16()
-	ev.Endpoint, ev.LoadReport = f.endpointID(), r.floats(f)
+	event.Endpoint = f.endpointID()
+	event.LoadReport = r.loadReport(f)
 	var err error
-	ev.Result, err = attemptOutcome(code, f)
-	return ev, err
+	event.Result, err = result(code, f)
+	return event, err
 }
 
-func attemptOutcome(code uint16, f *recordReader) (balance.Result, error) {
-	res, ok := results[code]
-	if !ok && !f.truncated {
+func result(code uint16, f *recordReader) (balance.Result, error) {
+	res, known := resultCodes[code]
+	if !known && !f.truncated {
 		return 0, fmt.Errorf("unknown result %d", code)
 	}
 	return res, nil
 }
 
-func (r *Reader) floats(f *recordReader) []float32 {
+func (r *Reader) loadReport(f *recordReader) []float32 {
 	r.report = r.report[:0]
 	for n := f.u8(); n > 0; n-- {
 		r.report = append(r.report, f.f32())
 	}
 	return r.report
 }
-
-var errTruncated = errors.New("record runs past the end of the frame")
-
-// fields takes values off a frame. A read past the end sets bad and gives zero.
-type recordReader struct {
-	data      []byte
-	pos       int
-	truncated bool
-}
-
-func (f *recordReader) bytes(n uint32) []byte {
-	if uint64(n) > uint64(len(f.data)-f.pos) {
-		f.truncated, f.pos = true, len(f.data)
-		return nil
-	}
-	f.pos += int(n)
-	return f.data[f.pos-int(n) : f.pos : f.pos]
-}
-
-func (f *recordReader) u8() uint8 {
-	if b := f.bytes(1); b != nil {
-		return b[0]
-	}
-	return 0
-}
-
-func (f *recordReader) u16() uint16 {
-	if b := f.bytes(2); b != nil {
-		return binary.BigEndian.Uint16(b)
-	}
-	return 0
-}
-
-func (f *recordReader) u32() uint32 {
-	if b := f.bytes(4); b != nil {
-		return binary.BigEndian.Uint32(b)
-	}
-	return 0
-}
-
-func (f *recordReader) u64() uint64 {
-	if b := f.bytes(8); b != nil {
-		return binary.BigEndian.Uint64(b)
-	}
-	return 0
-}
-
-// f64 reads a number; what is no finite number counts as absent.
-func (f *recordReader) f64() float64 {
-	v := math.Float64frombits(f.u64())
-	if math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0
-	}
-	return v
-}
-
-func (f *recordReader) f32() float32 {
-	v := math.Float32frombits(f.u32())
-	if v != v || math.IsInf(float64(v), 0) {
-		return 0
-	}
-	return v
-}
-
-// server packs four bytes of address and a port into an ID.
-func (f *recordReader) endpointID() balance.EndpointID {
-	host := f.u32()
-	return balance.EndpointID(uint64(host)<<16 | uint64(f.u16()))
-}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Fault reports that an instance's decision code broke.
+// Fault reports that an instance's balancer failed.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.header(codeFault, instance)
 	r.text([]byte(text))
@@ -58,7 +58,7 @@
 	case balance.StartAttempt:
 		r.header(codeStartAttempt, instance)
 		r.u64(uint64(a.Request))
-		r.f64(a.Delay)
+		r.f64(a.Deadline)
 		r.endpointID(a.Endpoint)
 	case balance.Reject:
 		r.header(codeReject, instance)
@@ -84,7 +84,7 @@
 	case balance.SendGossip:
 		r.header(codeSendGossip, instance)
 		peer := uint32(broadcastPeer)
-		if a.Peer >= 0 {
+		if a.Peer != balance.AllPeers {
 			peer = uint32(a.Peer)
 		}
 		r.buf = binary.BigEndian.AppendUint32(r.buf, peer)
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -10,7 +10,7 @@
 	"pebblelift/balance"
 )
 
-// unhex joins hex text with spaces and line breaks.
+// unhex decodes hexadecimal text, in which white space is ignored.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -20,78 +20,85 @@
 	return b
 }
 
+// readAll reads frames up to the end of the input. It returns their records and the clock of the last frame.
 func readAll(r *Reader) ([]Record, float64, error) {
-	var recs []Record
-	var at float64
+	var records []Record
+	var lastClock float64
 	for {
 		err := r.Read(func(clock float64, rec Record) error {
-			recs, at = append(recs, rec), clock
+			records = append(records, rec)
+			lastClock = clock
 			return nil
 		})
 		if err == io.EOF {
-			return recs, at, nil
+			return records, lastClock, nil
 		}
 		if err != nil {
-			return recs, at, err
+			return records, lastClock, err
 		}
 	}
 }
 
+// The example frames of the protocol's documentation: no records; a request, a timer and a canceled client; an endpoint
+// table and an update that refers to it; the result of an attempt.
 const (
 	emptyFrame  = "00000000 00000010 40c06e2000000000"
 	eventsFrame = `00000003 00000052 40c06e2000000000
 		03f2 0003 0002978f5d3a91c4 0000 4028000000000000 0001 91f03b7c55d20a64 406e000000000000 0000
 		03fc 0003 000000000000004d
 		044c 0005 000b677a0e6f2b19`
-	listFrame = `00000002 00000051 40c06e2000000000
+	updateFrame = `00000002 00000051 40c06e2000000000
 		03e8 0000 00000002
 		0000000000000000 00 0a124a07 232b 3f800000 0000 00 00
 		40b7d40000000000 00 0a9011f2 2354 3fc00000 0000 01 00
 		0410 0003 01 00000029 0000`
-	endedFrame = `00000001 0000002f 40c06e2000000000
+	resultFrame = `00000001 0000002f 40c06e2000000000
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
+// The reader decodes the example frames of the protocol's documentation.
 func TestReaderDecodesDocumentedExamples(t *testing.T) {
-	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
-	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
+	in := unhex(t, emptyFrame+eventsFrame+updateFrame+resultFrame)
+	records, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if clock != 8412.25 || len(recs) != 5 {
-		t.Fatalf("clock %v, %d records", clock, len(recs))
+	if clock != 8412.25 || len(records) != 5 {
+		t.Fatalf("clock %v, %d records, want 8412.25 and 5", clock, len(records))
 	}
-	ask, ok := recs[0].Event.(balance.Request)
-	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, AffinityKey: 0x91f03b7c55d20a64, Timeout: 240}
-	if !ok || ask != want || recs[0].Instance != 3 {
-		t.Errorf("ask: %+v", recs[0])
+	request, ok := records[0].Event.(balance.Request)
+	wantRequest := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, AffinityKey: 0x91f03b7c55d20a64, Timeout: 240}
+	if !ok || request != wantRequest || records[0].Instance != 3 {
+		t.Errorf("request: %+v, want %+v of instance 3", records[0], wantRequest)
 	}
-	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
-		t.Errorf("alarm: %+v", ev)
+	if event := records[1].Event; event != any(balance.Timer{Token: 77}) {
+		t.Errorf("timer: %+v, want token 77", event)
 	}
-	if ev := recs[2].Event; ev != any(balance.ClientCanceled{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
-		t.Errorf("hangup: %+v", recs[2])
+	wantCanceled := balance.ClientCanceled{Request: 0xb677a0e6f2b19}
+	if records[2].Event != any(wantCanceled) || records[2].Instance != 5 {
+		t.Errorf("canceled client: %+v, want %+v of instance 5", records[2], wantCanceled)
 	}
-	list := recs[3].Event.(balance.EndpointUpdate)
-	if list.Kind != balance.CachedSnapshot || len(list.Endpoints) != 2 {
-		t.Fatalf("list: %+v", list)
+	update := records[3].Event.(balance.EndpointUpdate)
+	if update.Kind != balance.CachedSnapshot || len(update.Endpoints) != 2 {
+		t.Fatalf("endpoint update: %+v, want a cached snapshot of 2 endpoints", update)
 	}
 	second := balance.Endpoint{ID: 0x0a9011f22354, StartedAt: 6100, NominalCapacity: 1.5, Zone: 1}
-	if list.Endpoints[0].ID != 0x0a124a07232b || list.Endpoints[1] != second {
-		t.Errorf("entries: %+v", list.Endpoints)
+	if update.Endpoints[0].ID != 0x0a124a07232b || update.Endpoints[1] != second {
+		t.Errorf("endpoints: %+v, want the second %+v", update.Endpoints, second)
 	}
-	ended := recs[4].Event.(balance.AttemptResult)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Endpoint != 0x0a124a07232b || ended.Latency != 18.5 ||
-		!ended.RequestClosed || ended.Result != balance.OK {
-		t.Errorf("ended: %+v", ended)
+	result := records[4].Event.(balance.AttemptResult)
+	if result.Request != 0x2978f5d3a91c4 || result.Endpoint != 0x0a124a07232b || result.Latency != 18.5 ||
+		!result.RequestClosed || result.Result != balance.OK {
+		t.Errorf("attempt result: %+v", result)
 	}
 }
 
+// The reply has the encoding of the examples in the protocol's documentation.
 func TestReplyEncodesDocumentedExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
-		{Kind: balance.StartAttempt, Request: 0x2978f5d3a91c4, Delay: 8492, Endpoint: 0x0a124a07232b},
+		{Kind: balance.StartAttempt, Request: 0x2978f5d3a91c4, Deadline: 8492, Endpoint: 0x0a124a07232b},
 		{Kind: balance.SetTimer, Token: 77, Delay: 500},
 	})
 	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
@@ -110,41 +117,43 @@
 	}
 }
 
+// A malformed frame is an error.
 func TestMalformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
-		"header cut short":     "00000000 0000",
-		"length under header":  "00000000 0000000f 40c06e2000000000",
-		"length past the end":  "00000001 00000050 40c06e2000000000 03fc",
-		"huge length":          "00000001 ffffffff 40c06e2000000000",
-		"clock not a number":   "00000000 00000010 7ff8000000000000",
-		"unknown code":         "00000001 00000014 40c06e2000000000 ffff 0003",
-		"record cut short":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
-		"bytes left over":      "00000000 00000012 40c06e2000000000 0000",
-		"count past the end":   "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
-		"settings past end":    "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
-		"table never sent":     "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
-		"table out of range":   "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
-		"unknown list kind":    "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
-		"unknown result":       strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
-		"more records claimed": strings.Replace(endedFrame, "00000001", "00000002", 1),
+		"truncated header":           "00000000 0000",
+		"length below header":        "00000000 0000000f 40c06e2000000000",
+		"length past the end":        "00000001 00000050 40c06e2000000000 03fc",
+		"oversized frame":            "00000001 ffffffff 40c06e2000000000",
+		"clock not a number":         "00000000 00000010 7ff8000000000000",
+		"unknown code":               "00000001 00000014 40c06e2000000000 ffff 0003",
+		"truncated record":           "00000001 00000016 40c06e2000000000 03fc 0003 0000",
+		"trailing bytes":             "00000000 00000012 40c06e2000000000 0000",
+		"count past the end":         "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
+		"settings past the end":      "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
+		"unknown table":              "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
+		"table out of range":         "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
+		"unknown update kind":        "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
+		"unknown result":             strings.Replace(resultFrame, "232b 0000", "232b 0055", 1),
+		"fewer records than claimed": strings.Replace(resultFrame, "00000001", "00000002", 1),
 	} {
-		recs, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame))))
+		records, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame))))
 		if err == nil {
-			t.Errorf("%s: no error, records %+v", name, recs)
+			t.Errorf("%s: no error, records %+v", name, records)
 		}
 	}
 }
 
-// The seed corpus runs in CI as an ordinary test.
+// No input makes the reader panic, and input that is shorter than a frame header is an error. In CI only the seed corpus
+// runs, as an ordinary test.
 func FuzzReader(f *testing.F) {
-	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, endedFrame, eventsFrame + listFrame} {
+	for _, frame := range []string{emptyFrame, eventsFrame, updateFrame, resultFrame, eventsFrame + updateFrame} {
 		f.Add(unhex(f, frame))
 	}
 	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		recs, _, err := readAll(NewReader(bytes.NewReader(in)))
-		if err == nil && len(in) > 0 && len(in) < headerSize {
-			t.Fatalf("%d bytes read as %d records", len(in), len(recs))
+		records, _, err := readAll(NewReader(bytes.NewReader(in)))
+		if err == nil && len(in) > 0 && len(in) < frameHeaderSize {
+			t.Fatalf("%d bytes, less than a frame header, were read as %d records", len(in), len(records))
 		}
 	})
 }
