--- a/balance/admission.go
+++ b/balance/admission.go
@@ -33,7 +33,7 @@
 }
 
 // update follows the load and returns the fraction to shed now. By Little's law the attempts in flight over
-// the rate of responses tell how long responses take, sooner than these do.
+// the rate of responses give how long responses take, sooner than these do.
 func (s *loadShedder) update(now, inFlight, requestRate float64, latency *latencyTracker) float64 {
 	estimated := trustedLoadFraction * inFlight / s.responseRate.rate(now, assumedResponses)
 	allowed := latency.baseline + queueAllowance*(1-latency.baseline)
@@ -59,8 +59,8 @@
 	return true
 }
 
-// shedFraction is the fraction of the load to shed now: by what the fleet has in flight where gossip tells
-// it, else by what this sidecar sees.
+// shedFraction is the fraction of the load to shed now: by the fleet's requests in flight where there is
+// fresh gossip, else by what this sidecar sees.
 func (b *Balancer) shedFraction() float64 {
 	shed := b.shedder.update(b.now, b.countedLoad(), b.requestRate.rate(b.now, 0), &b.latency)
 	switch {
@@ -73,8 +73,8 @@
 	return shed
 }
 
-// countedLoad is the load in flight that tells of overload. What hangs at a few endpoints is their fault; at
-// most of them it is overload.
+// countedLoad is the load in flight that counts for overload. What hangs at a few endpoints is their fault;
+// at most of them it is overload.
 func (b *Balancer) countedLoad() float64 {
 	healthy, ejected := b.inFlightLoad()
 	if ejected > healthy {
@@ -146,7 +146,8 @@
 	return value / math.Max(class.meanLatency, minMeanLatency)
 }
 
-// quotaFraction tells how much of a tenant's traffic counts in full, by its share of this sidecar's requests.
+// quotaFraction is the part of a tenant's traffic that counts in full, by its share of this sidecar's
+// requests.
 func (b *Balancer) quotaFraction(t *serviceTally, requests float64) float64 {
 	if t.quotaShare <= 0 {
 		return 1
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -86,10 +86,10 @@
 
 func (b *Balancer) recordSuccess(r *request, e *endpoint, latency float64) {
 	if e.outlier.presumedDead && !b.slowStart.warmingUp(e, b.now) {
-		b.beginSlowStart(e, b.now) // a restart that discovery has yet to tell
+		b.beginSlowStart(e, b.now) // discovery has yet to report the restart
 	}
 	e.outlier.clear()
-	b.recordObservation(e, observation{answered: true})
+	b.recordObservation(e, observation{responded: true})
 	b.shedder.responseRate.add(b.now, 1)
 	b.slowStart.countResponse(b.now)
 	b.recordLatency(latency / r.class.LatencyObjective)
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// updateConcurrencyLimit adjusts the limit where gossip tells enough to go by.
+// updateConcurrencyLimit adjusts the limit if gossip brought enough samples.
 func (b *Balancer) updateConcurrencyLimit() {
 	elapsed := b.now - b.concurrency.updatedAt
 	b.concurrency.updatedAt = b.now
@@ -114,7 +114,7 @@
 	return load
 }
 
-// fleetInFlight is how many requests all sidecars have at the endpoint, as far as they told.
+// fleetInFlight is how many requests all sidecars have at the endpoint, as far as gossip says.
 func (e *endpoint) fleetInFlight() float64 { return e.gossip.inFlightFromPeers + float64(e.inFlight) }
 
 // presentCapacity is an endpoint's nominal capacity, lowered while it warms up.
--- a/balance/config.go
+++ b/balance/config.go
@@ -77,7 +77,7 @@
 	BatchInterval   float64 // the least time between two batches of events
 
 	Subscribe    bool          // the endpoint list must be polled for or watched
-	LocalAgent   bool          // discovery is this sidecar's own agent: its news counts as notified at once
+	LocalAgent   bool          // discovery is this sidecar's own agent: changes count as notified at once
 	ReportSource ReportSource  // how load reports come
 	ReportFields []ReportField // what they hold, in order
 
@@ -86,8 +86,8 @@
 	Hedging            bool    // two attempts of a request may be in flight together
 	CancelAttempts     bool    // attempts may be canceled
 	HealthChecks       bool    // endpoints may be health checked
-	Gossip             bool    // sidecars may send each other messages
-	RetryAfter         bool    // rejected clients are told when to retry
+	Gossip             bool    // sidecars may send gossip to each other
+	RetryAfter         bool    // rejections carry Retry-After
 	MaxRetryAfter      float64 // the longest Retry-After that a client obeys
 	ConnectTimeout     float64
 
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -26,7 +26,7 @@
 
 	failures int     // in a row
 	watching bool    // a watch is open, or about to be
-	polledAt float64 // when the call that is out was made; far ahead once it was answered
+	polledAt float64 // when the pending call was made; +Inf once it was answered
 }
 
 func newPollSchedule(cfg *Config) pollSchedule {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -21,18 +21,18 @@
 	loadKnown     bool    // in the present pick: its requests in flight are known as well as can be
 }
 
-// healthCheckState holds an endpoint's last load report, and whether a health check is out.
+// healthCheckState holds an endpoint's last load report, and whether a health check is pending.
 type healthCheckState struct {
 	pending         bool
-	inFlight        float64 // requests it held at the last report
+	inFlight        float64 // its requests in flight at the last report
 	reportedAt      float64
 	sentSinceReport float64 // attempts of this sidecar since
 }
 
-// endpointGossip is what peers told of an endpoint and what they are told of it.
+// endpointGossip is the gossip about an endpoint, received and to be sent.
 type endpointGossip struct {
 	inFlightFromPeers float64     // requests of other sidecars
-	announcedInFlight int         // this sidecar's, as its last message told
-	hasNews           bool        // its interested peers get the message that is being written
+	announcedInFlight int         // this sidecar's, as in its last message
+	changed           bool        // the message that is being written has a change of it
 	observation       observation // since the last message
 }
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// updateEndpoint takes in one entry. A restart clears what was held against the endpoint.
+// updateEndpoint takes in one entry. A restart clears the endpoint's outlier state.
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
 	e := b.endpointByID[entry.ID]
 	if e == nil {
--- a/balance/fleet_latency.go
+++ b/balance/fleet_latency.go
@@ -4,7 +4,7 @@
 
 const (
 	latencyDecayTime         = 400  // ms over which the mean latency of all sidecars' responses is taken
-	minLatencySamples        = 20   // responses in it, fewer of which tell nothing
+	minLatencySamples        = 20   // responses in it that are enough to go by
 	maxLatencyRatio          = 2.5  // baselines that one response counts at most: a slow endpoint is no load
 	baselineAdoptionTime     = 5000 // ms in which a new sidecar adopts its peers' baseline
 	baselineAdoptionSamples  = 50   // messages over which it does
@@ -22,7 +22,7 @@
 	ownSum     float64
 }
 
-// latencyReport is what a gossip message tells of its sender's responses; latencies are in
+// latencyReport is the part of a gossip message on its sender's responses; latencies are in
 // latencyUnitsPerObjective.
 type latencyReport struct{ samples, mean, baseline uint8 }
 
@@ -45,7 +45,7 @@
 	return math.Min(latency, maxLatencyRatio*l.baseline)
 }
 
-// takeReport returns what is to be told of this sidecar's responses since the last call.
+// takeReport returns the report on this sidecar's responses since the last call.
 func (l *fleetLatency) takeReport() latencyReport {
 	report := latencyReport{
 		samples:  uint8(math.Min(l.ownSamples, math.MaxUint8)),
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -4,11 +4,11 @@
 
 const (
 	minGossipPeers    = 8    // sidecars: fewer see enough for themselves
-	gossipInterval    = 50   // ms between two messages of a sidecar, where there is news
-	gossipRefresh     = 500  // ms after which what stands is told again, as messages get lost
-	gossipExpiry      = 1500 // ms after which what a peer told counts no more
+	gossipInterval    = 50   // ms between two messages of a sidecar, if anything changed
+	gossipRefresh     = 500  // ms after which unchanged state is sent again, as messages get lost
+	gossipExpiry      = 1500 // ms after which a peer's last message counts no more
 	gossipTimeout     = 400  // ms without any message, after which a sidecar goes by its own requests
-	gossipRangeFactor = 2    // least subsets that a sidecar is told of: some of its own may be ejected
+	gossipRangeFactor = 2    // least subsets that a sidecar receives gossip on: some endpoints may be ejected
 )
 
 // gossipState is what this sidecar heard from its peers. Each sidecar has so few requests that alone it
@@ -16,7 +16,7 @@
 type gossipState struct {
 	peers          map[int]*peer
 	lastReceivedAt float64
-	refreshAt      float64 // when all that stands is told again
+	refreshAt      float64 // when unchanged state is sent again
 	endpointByTag  map[uint16]*endpoint
 	scopeBuffer    []*endpoint
 }
@@ -37,7 +37,7 @@
 
 func newGossipState() gossipState { return gossipState{peers: map[int]*peer{}} }
 
-// gossipEnabled reports whether sidecars tell each other anything.
+// gossipEnabled reports whether sidecars send each other gossip.
 func (c *Config) gossipEnabled() bool { return c.Gossip && c.PeerCount >= minGossipPeers }
 
 // fresh reports whether peers are being heard.
@@ -61,7 +61,7 @@
 	}
 }
 
-// expirePeers takes back what peers told that have not been heard for long: they may be gone.
+// expirePeers takes back the requests in flight of peers that were not heard for long: they may be gone.
 func (g *gossipState) expirePeers(now float64) {
 	for _, p := range g.peers {
 		if now-p.receivedAt > gossipExpiry {
@@ -70,7 +70,7 @@
 	}
 }
 
-// replaceInFlight puts what a peer has in flight in place of what it told before.
+// replaceInFlight puts a peer's present requests in flight in place of those of its message before.
 func (p *peer) replaceInFlight(present []peerInFlight) {
 	for _, flight := range p.inFlight {
 		flight.endpoint.gossip.inFlightFromPeers -= flight.count
@@ -92,7 +92,7 @@
 	}
 }
 
-// sendGossip tells peers what this sidecar has in flight at endpoints, and what came of it since its last
+// sendGossip sends peers this sidecar's requests in flight by endpoint, and what it observed since its last
 // message.
 func (b *Balancer) sendGossip() {
 	b.gossip.expirePeers(b.now)
@@ -113,12 +113,11 @@
 	b.scheduleGossip()
 }
 
-// announce appends an endpoint's entry where there is anything to tell, and marks the endpoint where that is
-// news.
+// announce appends an endpoint's entry if there is anything to send, and marks the endpoint if that changed.
 func (e *endpoint) announce(data []byte, refresh bool) []byte {
 	inFlight, seen := min(e.inFlight, maxAnnounced), e.gossip.observation
 	changed := inFlight != e.gossip.announcedInFlight || seen != (observation{})
-	e.gossip.hasNews = changed || refresh && inFlight > 0
+	e.gossip.changed = changed || refresh && inFlight > 0
 	e.gossip.announcedInFlight = 0
 	if inFlight == 0 && seen == (observation{}) || len(data)+gossipEntrySize > maxGossipSize {
 		return data
@@ -128,8 +127,8 @@
 	return appendGossipEntry(data, gossipEntry{tag: gossipTag(e.ID), inFlight: inFlight, seen: seen})
 }
 
-// multicast sends a message to the sidecars that may use an endpoint with news: each message costs its
-// receiver something, and what is told of other endpoints tells it nothing.
+// multicast sends a message to the sidecars that may use an endpoint that changed: each message costs its
+// receiver something, and entries on other endpoints are of no use to it.
 func (b *Balancer) multicast(data []byte) {
 	first := len(b.actions)
 	for peer := range b.cfg.PeerCount {
@@ -142,7 +141,7 @@
 	}
 }
 
-// isInterested reports whether a peer may use an endpoint with news, by its place on the ring.
+// isInterested reports whether a peer may use an endpoint that changed, by its place on the ring.
 func (b *Balancer) isInterested(peer int) bool {
 	reach := b.gossipRange()
 	if p := b.gossip.peers[peer]; p != nil {
@@ -150,19 +149,19 @@
 	}
 	ring, start := b.subsets.position(peer, len(b.endpoints))
 	for i := range min(reach, len(ring)) {
-		if ring[(start+i)%len(ring)].gossip.hasNews {
+		if ring[(start+i)%len(ring)].gossip.changed {
 			return true
 		}
 	}
 	return false
 }
 
-// gossipRange is how many endpoints from its place on the ring a sidecar is told of at the least.
+// gossipRange is how many endpoints from its place on the ring a sidecar receives gossip on at the least.
 func (b *Balancer) gossipRange() int {
 	return gossipRangeFactor * int(math.Ceil(b.subsets.minSize(len(b.endpoints))))
 }
 
-// gossipScope is the endpoints that this sidecar is told of.
+// gossipScope is the endpoints that this sidecar receives gossip on.
 func (b *Balancer) gossipScope() []*endpoint {
 	reach := max(b.gossipRange(), len(b.subset()))
 	if reach >= len(b.endpoints) {
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -15,8 +15,9 @@
 //	        u8  their mean latency, in latencyUnitsPerObjective
 //	        u8  the least mean latency that it knows of, likewise
 //	entry   u16 the endpoint's tag, see gossipTag
-//	        u8  the sender's requests in flight there (high four bits), whether it responded (answeredFlag),
-//	            whether a connection failed (unreachableFlag) and how often it failed (low two bits)
+//	        u8  the sender's requests in flight there (high four bits), whether it responded
+//	            (respondedFlag), whether a connection failed (unreachableFlag) and how often it failed
+//	            (low two bits)
 //
 // There is an entry for each endpoint at which the sender has requests, or that failed or came back since its
 // last message. Messages of other versions are dropped.
@@ -25,9 +26,9 @@
 	gossipHeaderSize     = 9
 	gossipEntrySize      = 3
 	maxGossipSize        = 256 // bytes, by the protocol
-	maxAnnounced         = 15  // requests in flight that an entry can tell
+	maxAnnounced         = 15  // requests in flight that an entry can hold
 	inFlightShift        = 4
-	answeredFlag         = 8
+	respondedFlag        = 8
 	unreachableFlag      = 4
 	maxAnnouncedFailures = unreachableFlag - 1
 )
@@ -37,14 +38,14 @@
 	errGossipVersion = errors.New("gossip message of another version")
 )
 
-// gossipHeader is what a message tells of its sender.
+// gossipHeader is the part of a message on its sender.
 type gossipHeader struct {
 	clock      uint32
 	subsetSize uint8
 	latency    latencyReport
 }
 
-// gossipEntry is what a message tells of one endpoint.
+// gossipEntry is the part of a message on one endpoint.
 type gossipEntry struct {
 	tag      uint16
 	inFlight int
@@ -59,8 +60,8 @@
 
 func appendGossipEntry(data []byte, entry gossipEntry) []byte {
 	bits := uint8(entry.inFlight)<<inFlightShift | uint8(math.Min(entry.seen.failures, maxAnnouncedFailures))
-	if entry.seen.answered {
-		bits |= answeredFlag
+	if entry.seen.responded {
+		bits |= respondedFlag
 	}
 	if entry.seen.unreachable {
 		bits |= unreachableFlag
@@ -92,7 +93,7 @@
 		inFlight: int(bits >> inFlightShift),
 		seen: observation{
 			failures:    float64(bits & maxAnnouncedFailures),
-			answered:    bits&answeredFlag != 0,
+			responded:   bits&respondedFlag != 0,
 			unreachable: bits&unreachableFlag != 0,
 		},
 	}
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -71,7 +71,7 @@
 	h.t.Helper()
 	peer, peerEndpoint := h.newPeer(sender, e)
 	peerEndpoint.evidence.failures = 1 // responses are gossiped after failures only
-	peer.b.recordObservation(peerEndpoint, observation{answered: true})
+	peer.b.recordObservation(peerEndpoint, observation{responded: true})
 	h.handle(GossipMessage{Sender: sender, Data: peer.sentGossip()})
 }
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	initialBaseline  = 0.33 // of the objective: held to be the least mean latency until responses tell
+	initialBaseline  = 0.33 // of the objective: taken for the least mean latency until there are responses
 	meanSamples      = 50   // responses over which the mean latency is taken
-	shortTermSamples = 10   // and the few that tell whether load is felt at all
+	shortTermSamples = 10   // and over which the short-term mean is taken
 	maxCountedRatio  = 2    // objectives that a single response counts at most
 )
 
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -15,10 +15,10 @@
 	unreachable       bool    // the last health check got no response
 	connectionLost    bool    // and no response came since
 	failedConnects    int     // since the last response
-	presumedDead      bool    // its process died, as far as connections tell
+	presumedDead      bool    // its process died, by what became of its connections
 }
 
-// clear forgets everything that is held against an endpoint.
+// clear resets the state, as after a response or a restart.
 func (o *outlierState) clear() { *o = outlierState{} }
 
 // ejected reports whether the endpoint gets no requests for now, as it left several attempts without a
@@ -30,8 +30,9 @@
 	o.lastErrorAt = now
 }
 
-// recordConnectionFault tells a process that died from a network fault: it lost its connections and accepts
-// no new ones. Either alone befalls live endpoints too, as full backlogs refuse and networks reset.
+// recordConnectionFault distinguishes a process that died from a network fault: it lost its connections and
+// accepts no new ones. Either alone happens to live endpoints too, as full backlogs refuse and networks
+// reset.
 func (o *outlierState) recordConnectionFault(result Result) {
 	switch result {
 	case Reset:
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -15,15 +15,15 @@
 type outlierEvidence struct {
 	failures     float64 // fewer with each response
 	updatedAt    float64
-	lastReporter int  // the peer index of who told of the last one
-	corroborated bool // more than one sidecar told of them
+	lastReporter int  // the peer index of the sidecar that reported the last one
+	corroborated bool // more than one sidecar reported them
 	unreachable  bool // some of them made no connection
 }
 
 // observation is what one sidecar saw of an endpoint.
 type observation struct {
 	failures    float64
-	answered    bool
+	responded   bool
 	unreachable bool // a connection failed
 }
 
@@ -52,12 +52,12 @@
 // down reports whether the endpoint fails and takes no connections: its process died.
 func (v *outlierEvidence) down(now float64) bool { return v.unreachable && v.failing(now) }
 
-// recordObservation takes in what this sidecar saw, for itself and for gossip. A response is news after
-// failures only.
+// recordObservation takes in what this sidecar saw, for itself and for gossip. A response is reported
+// after failures only.
 func (b *Balancer) recordObservation(e *endpoint, seen observation) {
 	pending := &e.gossip.observation
 	pending.failures += seen.failures
-	pending.answered = pending.answered || seen.answered && e.evidence.failures > 0
+	pending.responded = pending.responded || seen.responded && e.evidence.failures > 0
 	pending.unreachable = pending.unreachable || seen.unreachable
 	b.mergeObservation(e, b.cfg.PeerIndex, seen)
 }
@@ -69,14 +69,14 @@
 	e.evidence.refresh(b.now)
 	e.evidence.addFailures(reporter, seen)
 	wasDown := e.evidence.down(b.now)
-	if seen.answered {
+	if seen.responded {
 		e.evidence.failures *= failureDecay
 	}
 	if reporter != b.cfg.PeerIndex {
 		b.followPeers(e, seen)
 	}
 	if wasDown && !e.evidence.down(b.now) && !b.slowStart.warmingUp(e, b.now) {
-		b.beginSlowStart(e, b.now) // it is back, and discovery has yet to tell
+		b.beginSlowStart(e, b.now) // discovery has yet to report the restart
 	}
 }
 
@@ -89,7 +89,7 @@
 		e.outlier.ejectedUntil = math.Max(e.outlier.ejectedUntil, b.now+extension)
 	case failing && failed && !b.mostEjected():
 		b.eject(e)
-	case !failing && seen.answered && ejected:
+	case !failing && seen.responded && ejected:
 		e.outlier.ejectedUntil = b.now
 	}
 }
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -109,8 +109,8 @@
 	return b.gossip.fresh(b.now) && b.atCapacity(e)
 }
 
-// ranksBefore tells which of two is picked. Where all are overloaded, a first attempt goes to the least
-// loaded.
+// ranksBefore reports whether an endpoint is picked rather than the best so far. Where all are overloaded, a
+// first attempt goes to the least loaded.
 func (b *Balancer) ranksBefore(e, best *endpoint, retry, over bool) bool {
 	if over && !retry {
 		return (b.knownInFlight(e)+1)*best.rotation.weight < (b.knownInFlight(best)+1)*e.rotation.weight
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -15,8 +15,9 @@
 	overloadFactor  float64
 	overloadWindow  float64
 
-	// Responses to this sidecar, each as a part of the weight that was in use, tell what an endpoint of some
-	// weight answers. Responses count, not requests, which clients retry in overload.
+	// responsesPerWeight counts responses, each as a part of the weight that was in use: it gives the rate
+	// that an endpoint of some weight serves this sidecar. It does not count requests, which clients retry in
+	// overload.
 	responsesPerWeight rateMeter
 	weightInUse        float64 // at the last first attempt, whatever the endpoints' errors
 }
@@ -57,8 +58,8 @@
 // are assumed, else the budgets of many sidecars with little traffic add up to too much.
 func (s *slowStart) hasBudget(e *endpoint, now float64) bool {
 	assumed := 1 / math.Max(s.weightInUse, e.rotation.weight)
-	answered := s.responsesPerWeight.rate(now, assumed) * e.rotation.weight
-	refill := answered * math.Max(1, slowStartBudgetPart*s.overloadFactor)
+	served := s.responsesPerWeight.rate(now, assumed) * e.rotation.weight
+	refill := served * math.Max(1, slowStartBudgetPart*s.overloadFactor)
 	burst := math.Max(1, refill*s.overloadWindow*slowStartBurstPart)
 	e.warmUp.tokens = math.Min(e.warmUp.tokens+refill*(now-e.warmUp.refilledAt), burst)
 	e.warmUp.refilledAt = now
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -7,7 +7,7 @@
 
 const (
 	connectionsPerEndpoint           = 16  // that it is to hold when each sidecar uses its least subset
-	connectionsPerEndpointWithGossip = 5   // fewer are enough where sidecars tell what endpoints hold
+	connectionsPerEndpointWithGossip = 5   // fewer are enough where gossip shows the fleet's load
 	minSubset                        = 3   // endpoints: enough to retry when some of them fail together
 	subsetPerRequest                 = 0.5 // endpoints for each request within the longest objective
 	ringCount                        = 8   // so that neighbors in one ring have different ones in the others
--- a/balance/weight.go
+++ b/balance/weight.go
@@ -14,7 +14,7 @@
 
 	capacityStep         = 0.01 // of a learned capacity for each response; machine type and zone: half of it
 	maxLogCapacity       = 2.5  // bound of each learned logarithm of capacity
-	maxCapacityLoss      = 2    // class means beyond which a slow response tells no more
+	maxCapacityLoss      = 2    // class means above which a slower response counts no more
 	meanStepSamples      = 200
 	initialLearningBoost = 8  // times faster learning at first: restarted sidecars know nothing
 	initialLearningSpan  = 50 // responses in which it halves
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 	"pebblelift/internal/settings"
 )
 
-// Config is what the deployment tells a sidecar.
+// Config is the configuration file's content.
 type Config struct {
 	Name          string
 	Listen        string // where clients connect
@@ -23,7 +23,7 @@
 	Gossip        Gossip
 }
 
-// Gossip holds the addresses for datagrams between sidecars; an invalid one is not given.
+// Gossip holds the addresses for datagrams between sidecars; an invalid one means there is none.
 type Gossip struct {
 	Listen    netip.AddrPort   // where this sidecar's datagrams arrive
 	Peers     []netip.AddrPort // of all sidecars, by peer index
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -19,7 +19,7 @@
 
 // readOrReadAhead takes what was read ahead first. net/http waits for the client's going away by reading one byte while
 // a handler runs, and waits no more once it has one of a further request. So it gets none: what comes is read ahead,
-// until the handler is done, which a deadline tells, or the client has gone.
+// until the handler is done, which sets a deadline, or the client has gone.
 func (r *headRecorder) readOrReadAhead(p []byte) (int, error) {
 	if len(p) > 1 || !r.hasRequest() {
 		if n := r.consumeReadAhead(p); n > 0 {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -89,8 +89,8 @@
 	return in, nil
 }
 
-// checkFitsClass compares the method, path and key of a request with its class. A request with an idempotency key that
-// does not tell it could not be retried.
+// checkFitsClass compares the method, path and key of a request with its class. A keyed request without its key could
+// not be retried.
 func (s *Server) checkFitsClass(req *http.Request, class int) error {
 	idempotency := s.loop.Config().Settings.Balancer.Classes[class].Idempotency
 	hasKey := req.Header.Get(headers.IdempotencyKey) != ""
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// parseFields reads what the header fields and the query tell of a request. Every client says how long it waits: a guess
+// parseFields reads the request's header fields and query. Every client says how long it waits: a guess
 // in its place would be the longest wait there is, against which the balancer holds all later retries.
 func (s *Server) parseFields(req *http.Request, in *sidecar.Request) (err error) {
 	if in.Timeout, err = headers.ParseTimeout(req.Header.Get(headers.Timeout)); err != nil {
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -122,7 +122,7 @@
 	"fail_rate": balance.FieldErrorRate,
 }
 
-// subscribeNames tells by the value of "discovery" whether the endpoint list must be asked for.
+// subscribeNames maps the values of "discovery" to whether the endpoint list must be polled.
 var subscribeNames = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
 func parseDocument(raw []byte) (d document, err error) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,7 +8,7 @@
 	"pebblelift/balance"
 )
 
-// Settings is the settings object in full: what the balancer is told, and what only connections need.
+// Settings is the settings object: the balancer's configuration, and what only connections need.
 type Settings struct {
 	Balancer balance.Config
 
@@ -19,7 +19,7 @@
 	MachineTypes []string
 	ReportFields []string
 
-	ConnIdleTimeout float64 // ms after which endpoints close idle connections; 0: not told
+	ConnIdleTimeout float64 // ms after which endpoints close idle connections; 0: unknown
 }
 
 // FieldError says which key of the settings object is invalid.
@@ -42,7 +42,7 @@
 	return &FieldError{Field: field, Err: fmt.Errorf("%w: %v", errInvalidValue, value)}
 }
 
-// Parse reads the settings of a sidecar on the network. There all news of endpoints comes on a watch; where the settings
+// Parse reads the settings of a sidecar on the network. There all changes of endpoints come on a watch; where the settings
 // say that lists are pushed, it is a watch of the sidecar's own agent.
 func Parse(seed uint64, raw []byte) (Settings, error) {
 	d, err := parseDocument(raw)
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -96,7 +96,7 @@
 	return until
 }
 
-// attemptEnded tells the balancer the first end of an attempt. Later ones are dropped.
+// attemptEnded reports the first end of an attempt to the balancer. Later ones are dropped.
 func (l *Loop) attemptEnded(a *attempt, response upstream.Response) {
 	if a.ended {
 		return
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// readinessTimeout is when a sidecar is ready without any endpoint in its list: clients are told at once that
-	// there is none, and when to retry, while discovery may be away for long. A process has 10 s to be ready.
+	// readinessTimeout is when a sidecar is ready without any endpoint in its list: clients are rejected at once
+	// with Retry-After, while discovery may be away for long. A process has 10 s to be ready.
 	readinessTimeout = 5 * time.Second
 	// timerDelay makes the balancer's timers a little late: an attempt that times out at the same moment comes
 	// first, as the balancer expects.
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -37,7 +37,7 @@
 	Rejected int64 // since the start, as there were too many
 }
 
-// SetConnectionStats has the status lines tell of clients' connections.
+// SetConnectionStats adds the counts of clients' connections to the status lines.
 func (l *Loop) SetConnectionStats(stats func() ConnectionStats) { l.connectionStats.Store(&stats) }
 
 // Stats returns the counts, or ctx's error.
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -59,7 +59,7 @@
 }
 
 // handleCatalog takes in a message of discovery. A change that is older than what is known is not taken, and the whole
-// list is asked for next: only that tells whether discovery starts anew.
+// list is asked for next: only that shows whether discovery has started anew.
 func (l *Loop) handleCatalog(c discovery.Catalog) {
 	switch {
 	case c.Reset:
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,8 +13,8 @@
 
 const (
 	readBufferSize = 4 << 10
-	// earlyResponseWait is how long the reader of a response waits for the writer of its request to tell that all of
-	// it has left: it may just be a moment late.
+	// earlyResponseWait is how long the reader of a response waits for the writer of its request to report that all
+	// of it has left: it may just be a moment late.
 	earlyResponseWait = 10 * time.Millisecond
 )
 
--- a/internal/upstream/keep_alive.go
+++ b/internal/upstream/keep_alive.go
@@ -11,7 +11,7 @@
 )
 
 // keepAliveEstimator learns how long an endpoint's idle connections can be used. Some endpoints forget theirs far
-// sooner than the settings say, and tell it only by a reset of the next request, which may not always be sent again.
+// sooner than the settings say, and show it only by a reset of the next request, which may not always be sent again.
 type keepAliveEstimator struct {
 	suspectIdle time.Duration // idle time of the last connection that was lost; 0: a longer one has worked since
 	maxIdle     time.Duration // none is used that was idle for longer; 0: as the settings say
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -77,7 +77,7 @@
 	return Stats{Open: p.open, Dials: p.dials, Reuses: p.reuses}
 }
 
-// UpdateEndpoint tells where an endpoint listens, if an address is given, and whether it takes requests. Idle
+// UpdateEndpoint sets where an endpoint listens, if an address is given, and whether it takes requests. Idle
 // connections that are of no more use are closed.
 func (p *Pool) UpdateEndpoint(e *Endpoint, addr string, available bool) {
 	if available {
