--- a/internal/upstream/keep_alive_test.go
+++ b/internal/upstream/keep_alive_test.go
@@ -52,7 +52,7 @@
 
 // Isolated losses of connections do not set a limit; two losses in a row do. A learned limit expires after a while, so
 // that longer idle times are tried again.
-func TestSingleLossTeachesNothing(t *testing.T) {
+func TestKeepAliveIgnoresSingleLoss(t *testing.T) {
 	const configured, ms = 8 * time.Second, time.Millisecond
 	var estimator keepAliveEstimator
 	for range 5 { // between two losses a longer idle time works, or the connections were hardly idle
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,14 +1,8 @@
 package upstream
 
 import (
-	"bufio"
 	"context"
-	"errors"
-	"io"
 	"math"
-	"net"
-	"net/http"
-	"syscall"
 	"testing"
 	"time"
 
@@ -48,217 +42,23 @@
 	return p.open
 }
 
-// An attempt whose connection is refused has not been executed, and its connection no longer counts as open.
-func TestRefusedConnectionIsNotExecuted(t *testing.T) {
+// When the address of an endpoint changes, new attempts go to the new address and idle connections to the old one are
+// closed. When an endpoint drains, its idle connections are closed too, as it gets no new attempts.
+func TestEndpointAddressChange(t *testing.T) {
+	first := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
+	second := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	pool := newTestPool(t, 9)
-	r := pool.Do(context.Background(), pool.newAttempt(&Endpoint{addr: nettest.ClosedAddress(t)}))
-	if r.Result != balance.ConnectFailed {
-		t.Errorf("result %v, want %v", r.Result, balance.ConnectFailed)
-	}
-	if n := pool.openConnections(); n != 0 {
-		t.Errorf("%d connections still count as open", n)
-	}
-}
-
-// Connecting takes time. An attempt that may no longer start when its connection is up is not sent, so it is known not
-// to have been executed.
-func TestAttemptPastDeadlineIsNotSent(t *testing.T) {
-	for name, expire := range map[string]func(*Pool, *Attempt){
-		"the drain grace is over": func(p *Pool, a *Attempt) {
-			drainingSince := p.options.Clock.Now() - p.options.DrainGrace
-			a.Endpoint.unavailableSince.Store(math.Float64bits(drainingSince))
-		},
-		"the deduplication window is over": func(p *Pool, a *Attempt) { a.StartBefore = p.options.Clock.Now() },
-		"the deadline has passed":          func(p *Pool, a *Attempt) { a.Deadline = p.options.Clock.Now() },
-		"the attempt was canceled":         func(_ *Pool, a *Attempt) { a.Claim() },
-	} {
-		t.Run(name, func(t *testing.T) {
-			stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
-			pool := newTestPool(t, 9)
-			a := pool.newAttempt(&Endpoint{addr: stub.Addr})
-			expire(pool, a)
-			if r := pool.Do(context.Background(), a); r.Result != balance.NotSent {
-				t.Errorf("result %v, want %v", r.Result, balance.NotSent)
-			}
-			if stub.Requests.Load() != 0 {
-				t.Error("the request was sent")
-			}
-		})
-	}
-}
-
-// Canceling an attempt closes its connection, which is how the endpoint learns of it.
-func TestCancelClosesConnection(t *testing.T) {
-	received := make(chan struct{}, 1)
-	stub := nettest.NewStubServer(t, func(net.Conn, *http.Request, string) bool {
-		received <- struct{}{}
-		return true
-	})
-	pool := newTestPool(t, 9)
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan Response, 1)
-	go func() { done <- pool.Do(ctx, pool.newAttempt(&Endpoint{addr: stub.Addr})) }()
-	nettest.Receive(t, received)
-	cancel()
-	if r := nettest.Receive(t, done); r.Result != balance.Canceled {
-		t.Errorf("result %v, want %v", r.Result, balance.Canceled)
-	}
-	nettest.Receive(t, stub.Disconnects)
-	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
-}
-
-// smallBuffers limits the buffers of a socket, so that the write of a large request blocks while the other end does not
-// read. It is a Control function of net.Dialer and net.ListenConfig.
-func smallBuffers(_, _ string, c syscall.RawConn) (err error) {
-	const size = 4 << 10
-	controlErr := c.Control(func(fd uintptr) {
-		err = errors.Join(
-			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, size),
-			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size),
-		)
-	})
-	return errors.Join(controlErr, err)
-}
-
-// startHeaderOnlyServer starts an endpoint that reads the headers of a request but not its body, and then sends the
-// response. It hands over each connection on which it has done so.
-func startHeaderOnlyServer(t *testing.T, response string) (addr string, responded <-chan net.Conn) {
-	t.Helper()
-	ln, err := (&net.ListenConfig{Control: smallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	conns := make(chan net.Conn, 9)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			if _, err := http.ReadRequest(bufio.NewReaderSize(c, 64)); err == nil {
-				io.WriteString(c, response)
-				conns <- c
-			}
-		}
-	}()
-	return ln.Addr().String(), conns
-}
-
-// An attempt can also be canceled while its request is being written.
-func TestCancelDuringRequestWrite(t *testing.T) {
-	addr, conns := startHeaderOnlyServer(t, "")
-	pool := newTestPool(t, 9)
-	pool.dialer.Control = smallBuffers
-	ctx, cancel := context.WithCancel(context.Background())
-	a := pool.newAttempt(&Endpoint{addr: addr})
-	a.Request = Request{Method: "POST", Target: "/once", Body: make([]byte, MaxBodySize)}
-	done := make(chan Response, 1)
-	go func() { done <- pool.Do(ctx, a) }()
-	nettest.Receive(t, conns)
-	cancel()
-	// The last byte of the request was not written, so it was not executed.
-	if r := nettest.Receive(t, done); r.Result != balance.ConnectFailed {
-		t.Errorf("result %v (%v), want %v", r.Result, r.Err, balance.ConnectFailed)
-	}
-	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
-}
-
-// An attempt that is canceled just as its response arrives must not close the connection, which may already carry the
-// next round trip.
-func TestCancelSparesNextRoundTrip(t *testing.T) {
-	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
-	pool := newTestPool(t, 9)
-	endpoint := &Endpoint{addr: stub.Addr}
-	exchange := newRoundTrip("GET")
-	c, err := pool.acquire(context.Background(), endpoint, exchange)
-	if err != nil {
-		t.Fatal(err)
-	}
-	pool.release(c, exchange)
-	pool.abandon(c, exchange)
+	endpoint := &Endpoint{}
+	pool.UpdateEndpoint(endpoint, first.Addr, true)
+	pool.Do(context.Background(), pool.newAttempt(endpoint))
+	pool.UpdateEndpoint(endpoint, second.Addr, true)
+	nettest.Receive(t, first.Disconnects)
 	r := pool.Do(context.Background(), pool.newAttempt(endpoint))
-	if r.Result != balance.OK || stub.Conns.Load() != 1 {
-		t.Errorf("result %v on %d connections, want %v on 1", r.Result, stub.Conns.Load(), balance.OK)
-	}
-}
-
-// The pool closes an idle connection before the endpoint does, because a request written to a connection that the
-// endpoint has closed is lost.
-func TestIdleConnectionsAreClosed(t *testing.T) {
-	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
-	pool := newTestPool(t, 9)
-	if pool.idleTimeout != 8*time.Second {
-		t.Errorf("idle timeout %v where endpoints close idle connections after 10 s, want 8 s", pool.idleTimeout)
+	if r.Result != balance.OK || second.Requests.Load() != 1 {
+		t.Errorf("result %v, %d requests at the new address, want %v and 1",
+			r.Result, second.Requests.Load(), balance.OK)
 	}
-	pool.idleTimeout = 10 * time.Millisecond
-	pool.Do(context.Background(), pool.newAttempt(&Endpoint{addr: stub.Addr}))
-	nettest.Receive(t, stub.Disconnects)
+	pool.UpdateEndpoint(endpoint, "", false)
+	nettest.Receive(t, second.Disconnects)
 	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
 }
-
-// Of several idle connections the most recently used one is reused.
-func TestMostRecentConnectionIsReusedFirst(t *testing.T) {
-	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
-	pool := newTestPool(t, 9)
-	endpoint := &Endpoint{addr: stub.Addr}
-	var conns []*conn
-	var exchanges []*roundTrip
-	for range 2 {
-		exchange := newRoundTrip("GET")
-		c, err := pool.acquire(context.Background(), endpoint, exchange)
-		if err != nil {
-			t.Fatal(err)
-		}
-		conns = append(conns, c)
-		exchanges = append(exchanges, exchange)
-	}
-	pool.release(conns[0], exchanges[0])
-	pool.release(conns[1], exchanges[1])
-	if c, _ := pool.acquire(context.Background(), endpoint, exchanges[0]); c != conns[1] {
-		t.Error("the connection that was released last is not reused")
-	}
-}
-
-// At the limit on connections an attempt fails to connect, unless an idle connection to another endpoint can be closed
-// to make room.
-func TestMaxConnections(t *testing.T) {
-	received := make(chan struct{}, 1)
-	busy := nettest.NewStubServer(t, func(net.Conn, *http.Request, string) bool {
-		received <- struct{}{}
-		return true
-	})
-	idle := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
-	pool := newTestPool(t, 1)
-	idleEndpoint, busyEndpoint := &Endpoint{addr: idle.Addr}, &Endpoint{addr: busy.Addr}
-	pool.Do(context.Background(), pool.newAttempt(idleEndpoint))
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	done := make(chan Response, 1)
-	go func() { done <- pool.Do(ctx, pool.newAttempt(busyEndpoint)) }()
-	nettest.Receive(t, received)         // the busy endpoint got a connection,
-	nettest.Receive(t, idle.Disconnects) // for which the idle one was closed
-	if r := pool.Do(context.Background(), pool.newAttempt(idleEndpoint)); r.Result != balance.ConnectFailed {
-		t.Errorf("result %v, want %v", r.Result, balance.ConnectFailed)
-	}
-	cancel()
-	nettest.Receive(t, done)
-	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
-}
-
-// A health check is a request of its own to the given path. Its load report comes in the body or in a header field.
-func TestHealthCheck(t *testing.T) {
-	paths := make(chan string, 1)
-	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
-		paths <- req.RequestURI
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nTEXT busy=0.25")
-		return true
-	})
-	pool := newTestPool(t, 9)
-	r := pool.HealthCheck(context.Background(), &Endpoint{addr: stub.Addr}, "/_load")
-	path := nettest.Receive(t, paths)
-	if path != "/_load" || r.Result != balance.OK || len(r.LoadReport) != 2 || r.LoadReport[0] != 0.25 {
-		t.Errorf("request to %s, response %+v; want /_load and the load report [0.25 NaN]", path, r)
-	}
-}
