--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -10,13 +10,7 @@
 // goes to the healthiest untried one, which is charged in the rotation too. It returns nil if there is none.
 func (b *Balancer) pickEndpoint(r *request) *endpoint {
 	pool, totalWeight := b.candidates(r)
-	load := boundedLoad{inFlight: 1}
-	for _, e := range pool {
-		if e.rotation.weight > 0 && e.rotation.loadKnown {
-			load.inFlight += b.knownInFlight(e)
-			load.weight += e.rotation.weight
-		}
-	}
+	load := b.boundedLoad(pool)
 	retry := len(r.attempts) > 0
 	var best *endpoint
 	bestOver := false
@@ -96,6 +90,17 @@
 	weight   float64
 }
 
+func (b *Balancer) boundedLoad(candidates []*endpoint) boundedLoad {
+	load := boundedLoad{inFlight: 1}
+	for _, e := range candidates {
+		if e.rotation.weight > 0 && e.rotation.loadKnown {
+			load.inFlight += b.knownInFlight(e)
+			load.weight += e.rotation.weight
+		}
+	}
+	return load
+}
+
 // overloaded reports whether an endpoint has more than its share of the requests in flight: it is slow, hung
 // or filled by others, whatever its errors say. It keeps its current weight for later.
 func (b *Balancer) overloaded(e *endpoint, load boundedLoad) bool {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,9 +1,10 @@
-// Command simulator-adapter hosts instances of the decision module for the simulator: frames
-// come in on standard input, one reply to each goes out on standard output.
+// Command simulator-adapter hosts balancers for the simulator: frames come in on standard input, one reply to each goes
+// out on standard output.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -14,6 +15,8 @@
 	"pebblelift/internal/simwire"
 )
 
+const inputBufferSize = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
@@ -23,62 +26,72 @@
 
 // run answers frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	host := host{instances: map[uint16]*balance.Balancer{}}
-	reader := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	h := host{instances: map[uint16]*balance.Balancer{}}
+	reader := simwire.NewReader(bufio.NewReaderSize(in, inputBufferSize))
 	for {
-		host.reply.Reset()
-		err := reader.Read(host.handle)
-		if err == io.EOF {
+		h.reply.Reset()
+		err := reader.Read(h.handle)
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if _, err := host.reply.WriteTo(out); err != nil {
+		if _, err := h.reply.WriteTo(out); err != nil {
 			return err
 		}
 	}
 }
 
-// host keeps the instances of this process; they share nothing.
+// host keeps the instances of this process; they share nothing. A nil one could not start.
 type host struct {
 	instances map[uint16]*balance.Balancer
 	reply     simwire.Reply
 }
 
+// handle hands one record to its instance. An instance whose settings are invalid ignores all further events.
 func (h *host) handle(clock float64, rec simwire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
-	switch ev := rec.Event.(type) {
+	switch event := rec.Event.(type) {
 	case simwire.InstanceStart:
-		cfg, err := settings.ParseConfig(ev.Seed, ev.Settings)
-		if err != nil {
-			h.instances[rec.Instance] = nil // its further events are ignored
-			h.reply.Fault(rec.Instance, err.Error())
-			return nil
-		}
-		b := balance.New(cfg)
-		h.instances[rec.Instance] = b
-		h.reply.Add(rec.Instance, b.Start(clock))
+		h.start(clock, rec.Instance, event)
 	case simwire.InstanceDown:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
-		b, begun := h.instances[rec.Instance]
-		if b == nil && begun {
-			return nil
-		}
-		if b == nil {
-			return fmt.Errorf("event for instance %d, which has not begun", rec.Instance)
-		}
-		actions, err := b.Handle(clock, ev)
-		if err != nil {
-			h.reply.Fault(rec.Instance, err.Error())
-			return nil
-		}
-		h.reply.Add(rec.Instance, actions)
+		return h.dispatch(clock, rec.Instance, event)
+	}
+	return nil
+}
+
+func (h *host) start(clock float64, instance uint16, event simwire.InstanceStart) {
+	cfg, err := settings.ParseConfig(event.Seed, event.Settings)
+	if err != nil {
+		h.instances[instance] = nil
+		h.reply.Fault(instance, err.Error())
+		return
+	}
+	b := balance.New(cfg)
+	h.instances[instance] = b
+	h.reply.Add(instance, b.Start(clock))
+}
+
+func (h *host) dispatch(clock float64, instance uint16, event balance.Event) error {
+	b, started := h.instances[instance]
+	if !started {
+		return fmt.Errorf("event for instance %d, which has not started", instance)
+	}
+	if b == nil {
+		return nil
+	}
+	actions, err := b.Handle(clock, event)
+	if err != nil {
+		h.reply.Fault(instance, err.Error())
+		return nil
 	}
+	h.reply.Add(instance, actions)
 	return nil
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -134,58 +134,75 @@
 
 func (d *document) balancerConfig(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
-		Seed:            seed,
-		PeerIndex:       d.MyNumber,
-		PeerCount:       max(d.Peers, 1),
-		Zone:            d.Zone,
-		OverQuotaWeight: orDefault(d.OverShare, 1),
-		BatchInterval:   d.Quantum,
-
+		Seed:               seed,
+		PeerIndex:          d.MyNumber,
+		PeerCount:          max(d.Peers, 1),
+		Zone:               d.Zone,
+		OverQuotaWeight:    orDefault(d.OverShare, 1),
+		BatchInterval:      d.Quantum,
 		ClientsMarkRetries: d.Clients.MarksRetry,
-		MaxAttempts:        orDefault(d.Limits.MaxAttempts, 1),
-		Hedging:            d.Limits.ParallelTries,
-		CancelAttempts:     d.Limits.Cancel,
-		HealthChecks:       d.Limits.Probes,
-		Gossip:             d.Limits.MayTell,
-		RetryAfter:         d.Limits.RetryAfter,
-		MaxRetryAfter:      d.Limits.MaxRetryAfter,
-		ConnectTimeout:     d.Limits.ConnectTimeout,
-
-		DrainGrace:        d.Rules.DrainGrace,
-		SlowStartFraction: orDefault(d.Rules.ColdFrom, 1),
-		SlowStartDuration: d.Rules.Cold,
-		OverloadFactor:    d.Rules.FallMultiple,
-		OverloadWindow:    d.Rules.Fall,
-		PollInterval:      d.Rules.AskWithin,
-		ResponseSlack:     d.Rules.AnswerSlack,
-
-		Goal:      balance.Goal(d.Goal),
-		Penalties: balance.Penalties(d.Penalties),
+		Goal:               balance.Goal(d.Goal),
+		Penalties:          balance.Penalties(d.Penalties),
+	}
+	d.Limits.apply(&cfg)
+	d.Rules.apply(&cfg)
+	for _, t := range d.Tenants {
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.Allowance, QuotaShare: t.Share})
 	}
+	if err := d.applySources(&cfg); err != nil {
+		return cfg, err
+	}
+	return cfg, d.applyClasses(&cfg)
+}
+
+func (l *limitsDocument) apply(cfg *balance.Config) {
+	cfg.MaxAttempts = orDefault(l.MaxAttempts, 1)
+	cfg.Hedging = l.ParallelTries
+	cfg.CancelAttempts = l.Cancel
+	cfg.HealthChecks = l.Probes
+	cfg.Gossip = l.MayTell
+	cfg.RetryAfter = l.RetryAfter
+	cfg.MaxRetryAfter = l.MaxRetryAfter
+	cfg.ConnectTimeout = l.ConnectTimeout
+}
+
+func (r *rulesDocument) apply(cfg *balance.Config) {
+	cfg.DrainGrace = r.DrainGrace
+	cfg.SlowStartFraction = orDefault(r.ColdFrom, 1)
+	cfg.SlowStartDuration = r.Cold
+	cfg.OverloadFactor = r.FallMultiple
+	cfg.OverloadWindow = r.Fall
+	cfg.PollInterval = r.AskWithin
+	cfg.ResponseSlack = r.AnswerSlack
+}
+
+// applySources sets where the endpoint list and load reports come from.
+func (d *document) applySources(cfg *balance.Config) error {
 	var known bool
 	if cfg.Subscribe, known = subscribeNames[d.Discovery]; !known {
-		return cfg, invalid("discovery", d.Discovery)
+		return invalid("discovery", d.Discovery)
 	}
 	if cfg.ReportSource, known = reportSourceNames[d.Report.Via]; !known {
-		return cfg, invalid("report.via", d.Report.Via)
+		return invalid("report.via", d.Report.Via)
 	}
 	for _, name := range d.Report.Fields {
 		cfg.ReportFields = append(cfg.ReportFields, reportFieldNames[name])
 	}
-	for _, t := range d.Tenants {
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.Allowance, QuotaShare: t.Share})
-	}
+	return nil
+}
+
+func (d *document) applyClasses(cfg *balance.Config) error {
 	if len(d.Classes) == 0 {
-		return cfg, ErrNoClasses
+		return ErrNoClasses
 	}
 	for i := range d.Classes {
 		class, err := d.Classes[i].balancerClass()
 		if err != nil {
-			return cfg, fmt.Errorf("settings: class %d: %w", i, err)
+			return fmt.Errorf("class %d: %w", i, err)
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	return cfg, nil
+	return nil
 }
 
 func (c *classDocument) balancerClass() (balance.Class, error) {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -125,7 +125,11 @@
 		return 0, 0, fmt.Errorf("frame clock is %v", clock)
 	}
 	r.buf.Reset()
-	if n, err := io.CopyN(&r.buf, r.in, int64(size-frameHeaderSize)); err != nil {
+	n, err := io.CopyN(&r.buf, r.in, int64(size-frameHeaderSize))
+	if errors.Is(err, io.EOF) {
+		err = io.ErrUnexpectedEOF // io.EOF is the end between frames
+	}
+	if err != nil {
 		return 0, 0, fmt.Errorf("frame of %d bytes truncated after %d: %w", size, n+frameHeaderSize, err)
 	}
 	return count, clock, nil
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -22,16 +22,22 @@
 	codeFault         = 1090
 	codeWatch         = 1100
 	codeFetch         = 1110
-	broadcastPeer     = 0xffffffff
-	maxText           = 0xffff
-	replyHeader       = 4
 )
 
+const (
+	allPeersCode = 0xffffffff
+	maxTextSize  = 0xffff
+	watchChanges = 1 // rather than the whole list each time
+)
+
+// emptyReply is a reply of no actions, with room for its length.
+var emptyReply = []byte{0, 0, 0, 0}
+
 // Reply gathers the actions that answer one frame.
 type Reply struct{ buf []byte }
 
 // Reset empties the reply.
-func (r *Reply) Reset() { r.buf = append(r.buf[:0], 0, 0, 0, 0) }
+func (r *Reply) Reset() { r.buf = append(r.buf[:0], emptyReply...) }
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
@@ -83,7 +89,7 @@
 		r.endpointID(a.Endpoint)
 	case balance.SendGossip:
 		r.header(codeSendGossip, instance)
-		peer := uint32(broadcastPeer)
+		peer := uint32(allPeersCode)
 		if a.Peer != balance.AllPeers {
 			peer = uint32(a.Peer)
 		}
@@ -94,7 +100,7 @@
 		r.text([]byte(a.Text))
 	case balance.Watch:
 		r.header(codeWatch, instance)
-		r.buf = append(r.buf, 1)
+		r.buf = append(r.buf, watchChanges)
 	case balance.Fetch:
 		r.header(codeFetch, instance)
 	}
@@ -114,8 +120,8 @@
 }
 
 func (r *Reply) text(b []byte) {
-	if len(b) > maxText {
-		b = b[:maxText]
+	if len(b) > maxTextSize {
+		b = b[:maxTextSize]
 	}
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(b)))
 	r.buf = append(r.buf, b...)
