--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -71,7 +71,7 @@
 	}
 	in.Class = class
 	in.TraceID = req.Header.Get(headers.TraceID)
-	in.Method, in.Target = req.Method, req.RequestURI
+	in.Forwarded.Method, in.Forwarded.Target = req.Method, req.RequestURI
 	if err := s.checkFitsClass(req, class); err != nil {
 		return in, badRequest(err)
 	}
@@ -83,7 +83,7 @@
 	}
 	for _, name := range forwardedFields {
 		if value := req.Header.Get(name); value != "" {
-			in.Header = append(in.Header, upstream.HeaderField{Name: name, Value: value})
+			in.Forwarded.Header = append(in.Forwarded.Header, upstream.HeaderField{Name: name, Value: value})
 		}
 	}
 	return in, nil
@@ -137,7 +137,7 @@
 		return nil
 	}
 	var err error
-	in.Body, err = io.ReadAll(http.MaxBytesReader(w, req.Body, upstream.MaxBodySize))
+	in.Forwarded.Body, err = io.ReadAll(http.MaxBytesReader(w, req.Body, upstream.MaxBodySize))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -30,36 +30,36 @@
 }
 
 // startAttempt carries out an attempt in a goroutine of its own.
-func (l *Loop) startAttempt(action *balance.Action) {
-	r := l.requests[action.Request]
+func (d *dispatcher) startAttempt(action *balance.Action) {
+	r := d.requests[action.Request]
 	if r == nil {
-		l.log.Error("attempt for a request that is over", "request", action.Request)
+		d.log.Error("attempt for a request that is over", "request", action.Request)
 		return
 	}
 	earlier := r.attempts
-	ctx, cancel := context.WithCancel(l.ctx)
-	a := l.newAttempt(r, action, cancel)
+	ctx, cancel := context.WithCancel(d.ctx)
+	a := d.newAttempt(r, action, cancel)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if a.endpoint == nil || r.closed {
 		close(a.released)
-		l.postpone(func() { l.attemptEnded(a, upstream.Response{Result: balance.NotSent, Err: errNoEndpoint}) })
+		d.postpone(func() { d.attemptEnded(a, upstream.Response{Result: balance.NotSent, Err: errNoEndpoint}) })
 		return
 	}
-	l.timers.add(timer{due: a.call.Deadline, attempt: a})
-	l.workers.Go(func() {
+	d.timers.add(timer{due: a.call.Deadline, attempt: a})
+	d.loop.workers.Go(func() {
 		for _, e := range earlier { // one that was canceled stays out until its connection is closed: never two at once
 			<-e.released
 		}
-		response := l.pool.Do(ctx, a.call)
+		response := d.pool.Do(ctx, a.call)
 		close(a.released)
-		l.enqueue(func() { l.attemptEnded(a, response) })
+		d.loop.enqueue(func(d *dispatcher) { d.attemptEnded(a, response) })
 	})
 }
 
-func (l *Loop) newAttempt(r *request, action *balance.Action, cancel context.CancelFunc) *attempt {
+func (d *dispatcher) newAttempt(r *request, action *balance.Action, cancel context.CancelFunc) *attempt {
 	call := &upstream.Attempt{
-		Request:     r.Request.Request,
+		Request:     r.Forwarded,
 		Deadline:    r.deadline,
 		StartBefore: r.keyRememberedUntil(),
 	}
@@ -70,9 +70,9 @@
 		request:    r,
 		number:     len(r.attempts),
 		endpointID: action.Endpoint,
-		endpoint:   l.endpoints[action.Endpoint],
+		endpoint:   d.endpoints[action.Endpoint],
 		call:       call,
-		sentAt:     l.clock.Now(),
+		sentAt:     d.clock.Now(),
 		cancel:     cancel,
 		released:   make(chan struct{}),
 	}
@@ -97,7 +97,7 @@
 }
 
 // attemptEnded reports the first end of an attempt to the balancer. Later ones are dropped.
-func (l *Loop) attemptEnded(a *attempt, response upstream.Response) {
+func (d *dispatcher) attemptEnded(a *attempt, response upstream.Response) {
 	if a.ended {
 		return
 	}
@@ -110,12 +110,12 @@
 	r.inFlight--
 	a.notExecuted = response.Result.NotExecuted()
 	if response.Result == balance.OK && !r.closed {
-		l.deliver(r, Response{Result: balance.OK, Upstream: response})
+		d.deliver(r, Response{Result: balance.OK, Upstream: response})
 	}
-	latency := l.clock.Now() - a.sentAt
-	l.stats.Attempts[response.Result]++
-	l.logAttempt(a, response, latency)
-	l.handle(balance.AttemptResult{
+	latency := d.clock.Now() - a.sentAt
+	d.stats.Attempts[response.Result]++
+	d.logAttempt(a, response, latency)
+	d.handle(balance.AttemptResult{
 		Request:       r.id,
 		Attempt:       a.number,
 		Endpoint:      a.endpointID,
@@ -124,11 +124,11 @@
 		RequestClosed: r.closed,
 		LoadReport:    response.LoadReport,
 	})
-	l.removeIfOver(r)
+	d.removeIfOver(r)
 }
 
-func (l *Loop) cancelAttempt(action *balance.Action) {
-	r := l.requests[action.Request]
+func (d *dispatcher) cancelAttempt(action *balance.Action) {
+	r := d.requests[action.Request]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
 		return
 	}
@@ -138,5 +138,5 @@
 	}
 	a.call.Claim()
 	a.cancel()
-	l.postpone(func() { l.attemptEnded(a, upstream.Response{Result: balance.Canceled}) })
+	d.postpone(func() { d.attemptEnded(a, upstream.Response{Result: balance.Canceled}) })
 }
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -108,16 +108,16 @@
 	responses := make(chan Response, 1)
 	startAttempt := func(traceID string, earlier ...*attempt) {
 		h.runInLoop(func() {
-			h.loop.lastRequestID++
+			h.loop.dispatcher.lastRequestID++
 			r := &request{
 				Request:  idempotentRequest(traceID),
-				id:       h.loop.lastRequestID,
+				id:       h.loop.dispatcher.lastRequestID,
 				deadline: h.loop.clock.Now() + 9000,
 				response: responses,
 				attempts: earlier,
 			}
-			h.loop.requests[r.id] = r
-			h.loop.execute([]balance.Action{{Kind: balance.StartAttempt, Request: r.id, Endpoint: secondID}})
+			h.loop.dispatcher.requests[r.id] = r
+			h.loop.dispatcher.execute([]balance.Action{{Kind: balance.StartAttempt, Request: r.id, Endpoint: secondID}})
 		})
 	}
 	released := make(chan struct{})
@@ -144,13 +144,13 @@
 	go h.loop.Do(t.Context(), in)
 	nettest.Eventually(t, "the request is in flight", func() bool { return stub.Requests.Load() == 1 })
 	h.runInLoop(func() {
-		for id, r := range h.loop.requests {
-			h.loop.execute([]balance.Action{
+		for id, r := range h.loop.dispatcher.requests {
+			h.loop.dispatcher.execute([]balance.Action{
 				{Kind: balance.StartAttempt, Request: id, Endpoint: 12345},
 				{Kind: balance.CancelAttempt, Request: id, Attempt: 1},
 			})
-			if len(r.attempts) != 2 || len(h.loop.postponed) != 2 {
-				t.Errorf("%d attempts and %d postponed results, want 2 and 2", len(r.attempts), len(h.loop.postponed))
+			if len(r.attempts) != 2 || len(h.loop.dispatcher.postponed) != 2 {
+				t.Errorf("%d attempts and %d postponed results, want 2 and 2", len(r.attempts), len(h.loop.dispatcher.postponed))
 			}
 		}
 	})
--- a/internal/sidecar/endpoint.go
+++ b/internal/sidecar/endpoint.go
@@ -26,59 +26,59 @@
 }
 
 // applyCatalog takes in the endpoint list or a change of it.
-func (l *Loop) applyCatalog(c discovery.Catalog, kind balance.UpdateKind) {
-	l.generation = c.Generation
+func (d *dispatcher) applyCatalog(c discovery.Catalog, kind balance.UpdateKind) {
+	d.generation = c.Generation
 	listed := make(map[balance.EndpointID]bool, len(c.Instances))
 	update := balance.EndpointUpdate{Kind: kind, Endpoints: make([]balance.Endpoint, 0, len(c.Instances))}
 	for i := range c.Instances {
-		entry := l.balancerEndpoint(&c.Instances[i])
+		entry := d.balancerEndpoint(&c.Instances[i])
 		listed[entry.ID] = true
 		update.Endpoints = append(update.Endpoints, entry)
-		l.applyInstance(&c.Instances[i], entry)
+		d.applyInstance(&c.Instances[i], entry)
 	}
 	if kind != balance.Delta {
-		l.removeUnlisted(listed)
+		d.removeUnlisted(listed)
 	}
-	l.handle(update)
+	d.handle(update)
 }
 
-func (l *Loop) applyInstance(in *discovery.Instance, entry balance.Endpoint) {
-	e := l.endpoints[entry.ID]
+func (d *dispatcher) applyInstance(in *discovery.Instance, entry balance.Endpoint) {
+	e := d.endpoints[entry.ID]
 	if e == nil {
 		if entry.Lifecycle == balance.Removed {
 			return
 		}
 		e = &endpoint{name: in.ID}
-		l.endpoints[entry.ID] = e
+		d.endpoints[entry.ID] = e
 	}
-	l.pool.UpdateEndpoint(&e.connections, in.HostPort, entry.Lifecycle == balance.Ready)
+	d.pool.UpdateEndpoint(&e.connections, in.HostPort, entry.Lifecycle == balance.Ready)
 	switch entry.Lifecycle {
 	case balance.Ready:
-		l.ready.Store(true)
+		d.loop.ready.Store(true)
 	case balance.Removed: // attempts that are in flight keep what they need
-		delete(l.endpoints, entry.ID)
+		delete(d.endpoints, entry.ID)
 	}
 }
 
 // removeUnlisted drops what the whole list does not name.
-func (l *Loop) removeUnlisted(listed map[balance.EndpointID]bool) {
-	for id, e := range l.endpoints {
+func (d *dispatcher) removeUnlisted(listed map[balance.EndpointID]bool) {
+	for id, e := range d.endpoints {
 		if !listed[id] {
-			l.pool.UpdateEndpoint(&e.connections, "", false)
-			delete(l.endpoints, id)
+			d.pool.UpdateEndpoint(&e.connections, "", false)
+			delete(d.endpoints, id)
 		}
 	}
 }
 
 // balancerEndpoint translates an entry of the catalog.
-func (l *Loop) balancerEndpoint(in *discovery.Instance) balance.Endpoint {
+func (d *dispatcher) balancerEndpoint(in *discovery.Instance) balance.Endpoint {
 	entry := balance.Endpoint{
 		ID:              endpointID(in),
 		StartedAt:       in.StartedAt,
 		NominalCapacity: in.Weight,
 		Cell:            in.Cell,
-		Zone:            indexOrAppend(&l.zones, in.Zone),
-		MachineType:     indexOrAppend(&l.machineTypes, in.MachineType),
+		Zone:            indexOrAppend(&d.zones, in.Zone),
+		MachineType:     indexOrAppend(&d.machineTypes, in.MachineType),
 	}
 	switch in.Lifecycle {
 	case discovery.LifecycleDraining:
@@ -101,23 +101,23 @@
 }
 
 // healthCheck checks an endpoint in a goroutine of its own.
-func (l *Loop) healthCheck(id balance.EndpointID) {
-	e := l.endpoints[id]
+func (d *dispatcher) healthCheck(id balance.EndpointID) {
+	e := d.endpoints[id]
 	if e == nil {
-		l.postpone(func() { l.handle(balance.HealthCheckResult{Endpoint: id, Result: balance.ConnectFailed}) })
+		d.postpone(func() { d.handle(balance.HealthCheckResult{Endpoint: id, Result: balance.ConnectFailed}) })
 		return
 	}
-	path, startedAt := pingPath, l.clock.Now()
-	if l.config.Settings.Balancer.ReportSource != balance.ReportNone {
+	path, startedAt := pingPath, d.clock.Now()
+	if d.config.Settings.Balancer.ReportSource != balance.ReportNone {
 		path = loadReportPath
 	}
-	l.workers.Go(func() {
-		response := l.pool.HealthCheck(l.ctx, &e.connections, path)
-		l.enqueue(func() {
-			l.handle(balance.HealthCheckResult{
+	d.loop.workers.Go(func() {
+		response := d.pool.HealthCheck(d.ctx, &e.connections, path)
+		d.loop.enqueue(func(d *dispatcher) {
+			d.handle(balance.HealthCheckResult{
 				Endpoint:   id,
 				Result:     response.Result,
-				Latency:    l.clock.Now() - startedAt,
+				Latency:    d.clock.Now() - startedAt,
 				LoadReport: response.LoadReport,
 			})
 		})
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -184,7 +184,7 @@
 		}
 		l := NewLoop(clock.New(), &cfg, slog.New(slog.DiscardHandler))
 		dial := func(context.Context, string, string) (net.Conn, error) { return d.dial(i) }
-		l.discovery = discovery.NewClientWithDialer(cfg.Discovery, dial)
+		l.dispatcher.discovery = discovery.NewClientWithDialer(cfg.Discovery, dial)
 		fleet = append(fleet, l)
 		running.Go(func() { l.Run(ctx) })
 	}
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -69,7 +69,7 @@
 
 func balancerStats(l *Loop) balance.Stats {
 	stats := make(chan balance.Stats, 1)
-	l.enqueue(func() { stats <- l.balancer.Stats() })
+	l.enqueue(func(*dispatcher) { stats <- l.dispatcher.balancer.Stats() })
 	return <-stats
 }
 
@@ -82,10 +82,10 @@
 	second := runGossipLoop(t, gossipConfig(t, 1, true, addrs...))
 	message := make([]byte, 9)
 	sent := make(chan struct{})
-	second.enqueue(func() {
+	second.enqueue(func(*dispatcher) {
 		message[0] = 3
 		binary.BigEndian.PutUint32(message[1:], uint32(uint64(second.clock.Now())))
-		second.execute([]balance.Action{{Kind: balance.SendGossip, Peer: balance.AllPeers, Data: message}})
+		second.dispatcher.execute([]balance.Action{{Kind: balance.SendGossip, Peer: balance.AllPeers, Data: message}})
 		close(sent)
 	})
 	nettest.Receive(t, sent)
@@ -122,8 +122,8 @@
 	}
 	c.Close()
 	sent := make(chan struct{})
-	l.enqueue(func() {
-		l.execute([]balance.Action{{Kind: balance.SendGossip, Peer: balance.AllPeers, Data: []byte{1}}})
+	l.enqueue(func(*dispatcher) {
+		l.dispatcher.execute([]balance.Action{{Kind: balance.SendGossip, Peer: balance.AllPeers, Data: []byte{1}}})
 		close(sent)
 	})
 	nettest.Receive(t, sent)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -67,7 +67,7 @@
 
 func newRequest(traceID string, class int, method, target string) Request {
 	return Request{
-		Request: upstream.Request{
+		Forwarded: upstream.Request{
 			Method: method,
 			Target: target,
 			Header: []upstream.HeaderField{{Name: headers.TraceID, Value: traceID}},
@@ -99,7 +99,7 @@
 func (h *harness) runInLoop(f func()) {
 	h.t.Helper()
 	done := make(chan struct{})
-	h.loop.enqueue(func() {
+	h.loop.enqueue(func(*dispatcher) {
 		f()
 		close(done)
 	})
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -19,9 +19,9 @@
 	l := NewLoop(clock.New(), &cfg, nil)
 	due := l.clock.Now() + 100
 	a := &attempt{}
-	l.execute([]balance.Action{{Kind: balance.SetTimer, Token: 7, Delay: due - l.clock.Now()}})
-	l.timers.add(timer{due: due, attempt: a})
-	if l.timers[0].attempt != a {
+	l.dispatcher.execute([]balance.Action{{Kind: balance.SetTimer, Token: 7, Delay: due - l.clock.Now()}})
+	l.dispatcher.timers.add(timer{due: due, attempt: a})
+	if l.dispatcher.timers[0].attempt != a {
 		t.Error("the balancer's timer comes first")
 	}
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -24,7 +24,7 @@
 
 // Request is a client's request as it was read.
 type Request struct {
-	upstream.Request
+	Forwarded   upstream.Request // what the endpoint gets
 	TraceID     string
 	Class       int // position in the settings
 	Tenant      int // position in the settings; -1: none
@@ -60,12 +60,12 @@
 func (l *Loop) Do(ctx context.Context, in Request) (Response, error) {
 	responses := make(chan Response, 1)
 	accepted := make(chan *request, 1)
-	l.enqueue(func() {
+	l.enqueue(func(d *dispatcher) {
 		if ctx.Err() != nil { // its client left while it waited for the loop
 			accepted <- nil
 			return
 		}
-		accepted <- l.acceptRequest(in, responses)
+		accepted <- d.acceptRequest(in, responses)
 	})
 	var r *request
 	select {
@@ -79,7 +79,7 @@
 	case response := <-responses:
 		return response, nil
 	case <-ctx.Done():
-		l.enqueue(func() { l.clientCanceled(r) })
+		l.enqueue(func(d *dispatcher) { d.clientCanceled(r) })
 		return Response{}, ctx.Err()
 	case <-l.ended:
 		return Response{}, ErrStopped
@@ -87,80 +87,80 @@
 }
 
 // acceptRequest returns nil where the trace ID is in use or the balancer does not take the request.
-func (l *Loop) acceptRequest(in Request, responses chan Response) *request {
-	if l.traceIDs[in.TraceID] {
+func (d *dispatcher) acceptRequest(in Request, responses chan Response) *request {
+	if d.traceIDs[in.TraceID] {
 		return nil
 	}
-	class := l.config.Settings.Balancer.Classes[in.Class]
-	l.lastRequestID++
+	class := d.config.Settings.Balancer.Classes[in.Class]
+	d.lastRequestID++
 	margin := math.Min(responseMargin, maxMarginPart*in.Timeout)
 	r := &request{
 		Request:     in,
-		id:          l.lastRequestID,
+		id:          d.lastRequestID,
 		idempotency: class.Idempotency,
 		dedupWindow: class.DedupWindow,
 		deadline:    in.ArrivedAt + in.Timeout - margin,
 		response:    responses,
 	}
-	l.requests[r.id] = r
-	l.traceIDs[r.TraceID] = true
-	l.stats.Requests++
-	err := l.handle(balance.Request{
+	d.requests[r.id] = r
+	d.traceIDs[r.TraceID] = true
+	d.stats.Requests++
+	err := d.handle(balance.Request{
 		ID:          r.id,
 		Class:       in.Class,
 		Tenant:      in.Tenant,
 		WorkHint:    in.WorkHint,
 		AffinityKey: in.AffinityKey,
-		Timeout:     math.Max(r.deadline-l.clock.Now(), minBalancerTimeout),
+		Timeout:     math.Max(r.deadline-d.clock.Now(), minBalancerTimeout),
 		IsRetry:     in.IsRetry,
 	})
 	if err != nil {
-		l.remove(r)
+		d.remove(r)
 		return nil
 	}
 	return r
 }
 
 // respond gives a request its one response. Later ones are dropped.
-func (l *Loop) respond(id balance.RequestID, response Response) {
-	r := l.requests[id]
+func (d *dispatcher) respond(id balance.RequestID, response Response) {
+	r := d.requests[id]
 	if r == nil || r.closed {
 		return
 	}
-	l.deliver(r, response)
-	l.removeIfOver(r)
+	d.deliver(r, response)
+	d.removeIfOver(r)
 }
 
-func (l *Loop) deliver(r *request, response Response) {
+func (d *dispatcher) deliver(r *request, response Response) {
 	r.closed = true
-	l.stats.Responses[response.Result]++
+	d.stats.Responses[response.Result]++
 	r.response <- response
 }
 
 // clientCanceled ends a request whose client has gone. An attempt whose connection has yet to come up must not begin,
 // whatever the balancer may cancel.
-func (l *Loop) clientCanceled(r *request) {
+func (d *dispatcher) clientCanceled(r *request) {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	l.stats.ClientsCanceled++
-	l.handle(balance.ClientCanceled{Request: r.id})
+	d.stats.ClientsCanceled++
+	d.handle(balance.ClientCanceled{Request: r.id})
 	for _, a := range r.attempts {
 		if !a.ended && a.call.Claim() {
-			l.attemptEnded(a, upstream.Response{Result: balance.NotSent, Err: errClientGone})
+			d.attemptEnded(a, upstream.Response{Result: balance.NotSent, Err: errClientGone})
 		}
 	}
-	l.removeIfOver(r)
+	d.removeIfOver(r)
 }
 
-func (l *Loop) removeIfOver(r *request) {
+func (d *dispatcher) removeIfOver(r *request) {
 	if r.closed && r.inFlight == 0 {
-		l.remove(r)
+		d.remove(r)
 	}
 }
 
-func (l *Loop) remove(r *request) {
-	delete(l.requests, r.id)
-	delete(l.traceIDs, r.TraceID)
+func (d *dispatcher) remove(r *request) {
+	delete(d.requests, r.id)
+	delete(d.traceIDs, r.TraceID)
 }
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -22,7 +22,7 @@
 	}
 	nettest.Receive(t, stub.Disconnects)
 	h.runInLoop(func() {
-		if n := len(h.loop.requests); n != 0 {
+		if n := len(h.loop.dispatcher.requests); n != 0 {
 			t.Errorf("%d requests in the table, want none", n)
 		}
 	})
@@ -41,7 +41,7 @@
 			<-connect
 			return nil
 		}
-		l.pool = upstream.NewPool(options)
+		l.dispatcher.pool = upstream.NewPool(options)
 	}
 	h := newHarnessWithSettings(
 		t, settings, nettest.ClosedAddress(t), nettest.CachedCatalogJSON(stub.Addr), delayConnect)
@@ -59,7 +59,7 @@
 		t.Errorf("error %v, want %v", err, context.Canceled)
 	}
 	h.runInLoop(func() {
-		if n := h.loop.stats.ClientsCanceled; n != 1 {
+		if n := h.loop.dispatcher.stats.ClientsCanceled; n != 1 {
 			t.Errorf("%d requests counted as canceled by the client, want 1", n)
 		}
 	})
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -43,10 +43,10 @@
 // Stats returns the counts, or ctx's error.
 func (l *Loop) Stats(ctx context.Context) (Stats, error) {
 	result := make(chan Stats, 1)
-	l.enqueue(func() {
-		stats := l.stats
-		stats.OpenRequests = len(l.requests)
-		stats.OpenTraceIDs = len(l.traceIDs)
+	l.enqueue(func(d *dispatcher) {
+		stats := d.stats
+		stats.OpenRequests = len(d.requests)
+		stats.OpenTraceIDs = len(d.traceIDs)
 		result <- stats
 	})
 	select {
@@ -61,15 +61,15 @@
 
 // logStatus writes one line with all counts since the start and the balancer's view of the load. The difference of two
 // lines is what happened between them.
-func (l *Loop) logStatus() {
-	l.loggedCount = 0
-	if l.stats.Requests == 0 {
+func (d *dispatcher) logStatus() {
+	d.loggedCount = 0
+	if d.stats.Requests == 0 {
 		return
 	}
-	b, s, conns := l.balancer.Stats(), &l.stats, l.pool.Stats()
-	l.log.Info("status",
+	b, s, conns := d.balancer.Stats(), &d.stats, d.pool.Stats()
+	d.log.Info("status",
 		"requests", s.Requests,
-		"open", len(l.requests),
+		"open", len(d.requests),
 		slog.Group("responses",
 			"served", s.Responses[balance.OK],
 			"rejected", s.Responses[balance.Rejected],
@@ -87,14 +87,14 @@
 			"baseline_latency", b.BaselineLatency,
 			"short_term_latency", b.ShortTermLatency,
 			"concurrency_limit", b.ConcurrencyLimit),
-		slog.Group("endpoints", "listed", len(l.endpoints), "ejected", b.Ejected, "warming_up", b.WarmingUp),
+		slog.Group("endpoints", "listed", len(d.endpoints), "ejected", b.Ejected, "warming_up", b.WarmingUp),
 		slog.Group("discovery",
 			"calls", s.DiscoveryCalls,
 			"failed", s.DiscoveryFailures,
 			"latency_ms", s.DiscoveryLatency,
-			"generation", l.generation),
+			"generation", d.generation),
 		slog.Group("connections", "open", conns.Open, "dials", conns.Dials, "reuses", conns.Reuses),
-		slog.Group("clients", l.clientCounts()...),
+		slog.Group("clients", d.clientCounts()...),
 		slog.Group("gossip", "received", b.GossipReceived, "dropped", b.GossipDropped))
 }
 
@@ -109,8 +109,8 @@
 	return attrs
 }
 
-func (l *Loop) clientCounts() []any {
-	stats := l.connectionStats.Load()
+func (d *dispatcher) clientCounts() []any {
+	stats := d.loop.connectionStats.Load()
 	if stats == nil {
 		return nil
 	}
@@ -119,19 +119,19 @@
 }
 
 // logAttempt writes a line about an attempt that was not served, unless there have been too many.
-func (l *Loop) logAttempt(a *attempt, response upstream.Response, latency float64) {
+func (d *dispatcher) logAttempt(a *attempt, response upstream.Response, latency float64) {
 	if response.Result == balance.OK || response.Result == balance.Canceled {
 		return
 	}
-	l.loggedCount++
-	if l.loggedCount > maxLoggedAttempts {
+	d.loggedCount++
+	if d.loggedCount > maxLoggedAttempts {
 		return
 	}
 	name := ""
 	if a.endpoint != nil {
 		name = a.endpoint.name
 	}
-	l.log.Info("attempt",
+	d.log.Info("attempt",
 		"trace_id", a.request.TraceID,
 		"number", a.number,
 		"endpoint", name,
--- a/internal/sidecar/stats_test.go
+++ b/internal/sidecar/stats_test.go
@@ -17,7 +17,7 @@
 	stub := nettest.NewStubServer(t, nettest.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
 	h := newHarnessWithEndpoints(t, stub.Addr)
 	var log bytes.Buffer
-	h.runInLoop(func() { h.loop.log = slog.New(slog.NewTextHandler(&log, nil)) })
+	h.runInLoop(func() { h.loop.dispatcher.log = slog.New(slog.NewTextHandler(&log, nil)) })
 	for i := range 2 * maxLoggedAttempts {
 		h.do(nonIdempotentRequest(fmt.Sprint("t", i)))
 	}
@@ -26,7 +26,7 @@
 		if n := strings.Count(log.String(), "msg=attempt"); n == 0 || n > intervals*maxLoggedAttempts {
 			t.Errorf("%d attempts logged in %d intervals, want 1 to %d", n, intervals, intervals*maxLoggedAttempts)
 		}
-		if n := h.loop.stats.Attempts[balance.ServerError]; n != 2*maxLoggedAttempts {
+		if n := h.loop.dispatcher.stats.Attempts[balance.ServerError]; n != 2*maxLoggedAttempts {
 			t.Errorf("%d attempts counted, want %d", n, 2*maxLoggedAttempts)
 		}
 	})
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -11,85 +11,85 @@
 )
 
 // watch opens the standing watch, in place of the one before. The messages of a watch that was replaced are dropped.
-func (l *Loop) watch(timeout time.Duration) {
-	if l.stopWatch != nil {
-		l.stopWatch()
+func (d *dispatcher) watch(timeout time.Duration) {
+	if d.stopWatch != nil {
+		d.stopWatch()
 	}
-	ctx, stop := context.WithCancel(l.ctx)
-	l.stopWatch = stop
-	after, client, startedAt := l.generation, l.discovery, l.clock.Now()
-	l.stats.DiscoveryCalls++
-	l.workers.Go(func() {
+	ctx, stop := context.WithCancel(d.ctx)
+	d.stopWatch = stop
+	after, client, startedAt := d.generation, d.discovery, d.clock.Now()
+	d.stats.DiscoveryCalls++
+	d.loop.workers.Go(func() {
 		first := true
 		err := client.Watch(ctx, after, timeout, func(c discovery.Catalog) {
-			latency, isFirst := l.clock.Now()-startedAt, first
+			latency, isFirst := d.clock.Now()-startedAt, first
 			first = false
-			l.enqueue(func() {
+			d.loop.enqueue(func(d *dispatcher) {
 				if ctx.Err() != nil {
 					return
 				}
 				if isFirst {
-					l.stats.DiscoveryLatency = latency
+					d.stats.DiscoveryLatency = latency
 				}
-				l.handleCatalog(c)
+				d.handleCatalog(c)
 			})
 		})
-		l.enqueue(func() {
+		d.loop.enqueue(func(d *dispatcher) {
 			if ctx.Err() == nil {
 				stop()
-				l.handleDiscoveryError(err)
+				d.handleDiscoveryError(err)
 			}
 		})
 	})
 }
 
 // fetch asks for the whole list once.
-func (l *Loop) fetch() {
-	client := l.discovery
-	l.workers.Go(func() {
-		c, err := client.Fetch(l.ctx)
-		l.enqueue(func() {
+func (d *dispatcher) fetch() {
+	client := d.discovery
+	d.loop.workers.Go(func() {
+		c, err := client.Fetch(d.ctx)
+		d.loop.enqueue(func(d *dispatcher) {
 			if err != nil {
-				l.handleDiscoveryError(err)
+				d.handleDiscoveryError(err)
 				return
 			}
-			l.handleCatalog(c)
+			d.handleCatalog(c)
 		})
 	})
 }
 
 // handleCatalog takes in a message of discovery. A change that is older than what is known is not taken, and the whole
 // list is asked for next: only that shows whether discovery has started anew.
-func (l *Loop) handleCatalog(c discovery.Catalog) {
+func (d *dispatcher) handleCatalog(c discovery.Catalog) {
 	switch {
 	case c.Reset:
-		l.applyCatalog(c, balance.Snapshot)
-	case c.Generation < l.generation:
-		err := fmt.Errorf("%w: %d after %d", discovery.ErrOutOfOrder, c.Generation, l.generation)
-		l.generation = 0
-		l.stopWatch()
-		l.handleDiscoveryError(err)
+		d.applyCatalog(c, balance.Snapshot)
+	case c.Generation < d.generation:
+		err := fmt.Errorf("%w: %d after %d", discovery.ErrOutOfOrder, c.Generation, d.generation)
+		d.generation = 0
+		d.stopWatch()
+		d.handleDiscoveryError(err)
 	default:
-		l.applyCatalog(c, balance.Delta)
+		d.applyCatalog(c, balance.Delta)
 	}
 }
 
-func (l *Loop) handleDiscoveryError(err error) {
-	l.stats.DiscoveryFailures++
-	l.log.Info("discovery", "err", err)
+func (d *dispatcher) handleDiscoveryError(err error) {
+	d.stats.DiscoveryFailures++
+	d.log.Info("discovery", "err", err)
 	kind := balance.WatchFailed
 	if errors.Is(err, discovery.ErrStalled) {
 		kind = balance.WatchStalled
 	}
-	l.handle(balance.EndpointUpdate{Kind: kind})
+	d.handle(balance.EndpointUpdate{Kind: kind})
 }
 
 // SetDiscovery moves a running sidecar to another address of discovery. A standing watch, or one that is about to be
 // opened, moves at once, since the old address closes soon.
 func (l *Loop) SetDiscovery(addr string) {
-	l.enqueue(func() {
-		l.discovery = discovery.NewClient(addr)
-		l.handle(balance.EndpointUpdate{Kind: balance.SourceChanged})
-		l.log.Info("reloaded", "discovery", addr)
+	l.enqueue(func(d *dispatcher) {
+		d.discovery = discovery.NewClient(addr)
+		d.handle(balance.EndpointUpdate{Kind: balance.SourceChanged})
+		d.log.Info("reloaded", "discovery", addr)
 	})
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -48,9 +48,9 @@
 	listed := func(names ...string) func() bool {
 		return func() (ok bool) {
 			h.runInLoop(func() {
-				ok = len(h.loop.endpoints) == len(names)
+				ok = len(h.loop.dispatcher.endpoints) == len(names)
 				for _, name := range names {
-					ok = ok && h.loop.endpoints[balance.EndpointID(stablehash.String(name))] != nil
+					ok = ok && h.loop.dispatcher.endpoints[balance.EndpointID(stablehash.String(name))] != nil
 				}
 			})
 			return ok
@@ -89,7 +89,7 @@
 	h := newHarness(t, discovery.Addr, nettest.CatalogJSON(41, true, nettest.InstanceJSON("s", addr, "up")))
 	isDraining := func() (draining bool) {
 		h.runInLoop(func() {
-			draining = !h.loop.endpoints[balance.EndpointID(stablehash.String("s"))].connections.Available()
+			draining = !h.loop.dispatcher.endpoints[balance.EndpointID(stablehash.String("s"))].connections.Available()
 		})
 		return draining
 	}
