--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -12,7 +12,7 @@
 const (
 	// responseMargin is how long before the client's time is up its response is due: timers and writes take time.
 	responseMargin     = 4.0 // ms
-	maxMarginPart      = 0.1 // of the client's time
+	marginsPerTimeout  = 10  // the margin is this part of the client's time at most
 	minBalancerTimeout = 1e-3
 )
 
@@ -93,7 +93,7 @@
 	}
 	class := d.config.Settings.Balancer.Classes[in.Class]
 	d.lastRequestID++
-	margin := math.Min(responseMargin, maxMarginPart*in.Timeout)
+	margin := math.Min(responseMargin, in.Timeout/marginsPerTimeout)
 	r := &request{
 		Request:     in,
 		id:          d.lastRequestID,
