--- a/internal/downstream/handler_test.go
+++ b/internal/downstream/handler_test.go
@@ -44,21 +44,15 @@
 
 // A request whose trace ID is in use is answered with 409 and not forwarded, so that no second copy of it runs.
 func TestDuplicateTraceID(t *testing.T) {
-	received, release := make(chan struct{}, 1), make(chan struct{})
-	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-		received <- struct{}{}
-		<-release
-		io.WriteString(c, nettest.OKResponse)
-		return true
-	})
+	stub := newHoldingStub(t, "")
 	h := newHarnessWithEndpoints(t, stub.Addr)
 	c, reader := h.connect()
 	io.WriteString(c, idempotentRequest("same"))
-	nettest.Receive(t, received)
+	nettest.Receive(t, stub.received)
 	if resp, _ := h.request(idempotentRequest("same")); resp.StatusCode != http.StatusConflict {
 		t.Errorf("duplicate: status %d, want %d", resp.StatusCode, http.StatusConflict)
 	}
-	close(release)
+	close(stub.release)
 	if resp, _ := h.readResponse(reader); resp.StatusCode != 200 || stub.Requests.Load() != 1 {
 		t.Errorf("first: status %d, want 200; %d requests were forwarded, want 1", resp.StatusCode, stub.Requests.Load())
 	}
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -12,6 +12,7 @@
 
 	"pebblelift/internal/clock"
 	"pebblelift/internal/config"
+	"pebblelift/internal/headers"
 	"pebblelift/internal/nettest"
 	"pebblelift/internal/sidecar"
 )
@@ -159,3 +160,28 @@
 	}
 	return heads
 }
+
+// maxHeldRequests is how many requests a holdingStub reports without being waited for.
+const maxHeldRequests = 10
+
+// holdingStub is an endpoint that holds requests before it answers them.
+type holdingStub struct {
+	*nettest.StubServer
+	received chan struct{} // one for each request that is held
+	release  chan struct{} // one for each request to answer, or closed for all
+}
+
+// newHoldingStub holds the requests of a trace ID, or all if none is given.
+func newHoldingStub(t *testing.T, traceID string) *holdingStub {
+	t.Helper()
+	s := &holdingStub{received: make(chan struct{}, maxHeldRequests), release: make(chan struct{})}
+	s.StubServer = nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
+		if traceID == "" || req.Header.Get(headers.TraceID) == traceID {
+			s.received <- struct{}{}
+			<-s.release
+		}
+		io.WriteString(c, nettest.OKResponse)
+		return true
+	})
+	return s
+}
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -108,23 +108,15 @@
 
 // A request that was read ahead, even if only in part, is served once the one before it is answered.
 func TestPipelinedRequestDuringResponse(t *testing.T) {
-	received, release := make(chan struct{}, 1), make(chan struct{})
-	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
-		if req.Header.Get("X-Trace-Id") == "t" {
-			received <- struct{}{}
-			<-release
-		}
-		io.WriteString(c, nettest.OKResponse)
-		return true
-	})
+	stub := newHoldingStub(t, "t")
 	h := newHarnessWithEndpoints(t, stub.Addr)
 	c, reader := h.connect()
 	head := strings.Replace(nonIdempotentRequest("u"), "Content-Length: 0\r\n\r\n",
 		fmt.Sprintf("Content-Length: %d\r\n\r\n", upstream.MaxBodySize), 1)
 	io.WriteString(c, idempotentRequest("t")+head[:50])
-	nettest.Receive(t, received)
+	nettest.Receive(t, stub.received)
 	io.WriteString(c, head[50:]+strings.Repeat("x", upstream.MaxBodySize))
-	close(release)
+	close(stub.release)
 	for range 2 {
 		if resp, body := h.readResponse(reader); resp.StatusCode != 200 || body != "hi" {
 			t.Errorf("status %d, body %q, want 200 and hi", resp.StatusCode, body)
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -66,26 +66,19 @@
 
 // Pipelined requests that arrived together are all answered, even if the shutdown begins meanwhile.
 func TestShutdownWithPipelinedRequests(t *testing.T) {
-	const requests = 3
-	received, release := make(chan struct{}, requests), make(chan struct{})
-	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-		received <- struct{}{}
-		<-release
-		io.WriteString(c, nettest.OKResponse)
-		return true
-	})
+	stub := newHoldingStub(t, "")
 	h := newHarnessWithEndpoints(t, stub.Addr)
 	c, reader := h.connect()
 	io.WriteString(c, idempotentRequest("a")+idempotentRequest("b")+idempotentRequest("c"))
-	nettest.Receive(t, received)
-	release <- struct{}{}
-	nettest.Receive(t, received) // the second request is in flight; it was read together with the first
+	nettest.Receive(t, stub.received)
+	stub.release <- struct{}{}
+	nettest.Receive(t, stub.received) // the second request is in flight; it was read together with the first
 	h.readResponse(reader)
 	h.shutDown()
 	nettest.Eventually(t, "idle connections are draining", func() bool {
 		return h.server.listener.Load().drainMode.Load() != 0
 	})
-	close(release)
+	close(stub.release)
 	if resp, body := h.readResponse(reader); resp.StatusCode != 200 || body != "hi" {
 		t.Errorf("status %d, body %q, want 200 and hi", resp.StatusCode, body)
 	}
@@ -98,22 +91,14 @@
 // After SIGTERM idle connections are closed while the listener still accepts new ones for a while. Requests that were
 // accepted are answered before Serve returns.
 func TestGracefulShutdown(t *testing.T) {
-	received, release := make(chan struct{}, 2), make(chan struct{})
-	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
-		if req.Header.Get("X-Trace-Id") == "slow" {
-			received <- struct{}{}
-			<-release
-		}
-		io.WriteString(c, nettest.OKResponse)
-		return true
-	})
+	stub := newHoldingStub(t, "slow")
 	h := newHarnessWithEndpoints(t, stub.Addr)
 	idle, idleReader := h.connect()
 	io.WriteString(idle, idempotentRequest("before"))
 	h.readResponse(idleReader)
 	slow, slowReader := h.connect()
 	io.WriteString(slow, idempotentRequest("slow"))
-	nettest.Receive(t, received)
+	nettest.Receive(t, stub.received)
 	h.shutDown()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Errorf("error %v on an idle connection, want %v", err, io.EOF)
@@ -128,7 +113,7 @@
 		t.Fatalf("Serve returned %v while a request was in flight", err)
 	default:
 	}
-	close(release)
+	close(stub.release)
 	if resp, body := h.readResponse(slowReader); resp.StatusCode != 200 || body != "hi" || !resp.Close {
 		t.Errorf("request in flight: status %d, body %q, close %v, want 200, hi and close",
 			resp.StatusCode, body, resp.Close)
