--- a/balance/admission.go
+++ b/balance/admission.go
@@ -73,8 +73,8 @@
 	return shed
 }
 
-// countedLoad is the load in flight that counts for overload. What hangs at a few endpoints is their fault;
-// at most of them it is overload.
+// countedLoad is the load in flight that counts for overload. Hung attempts at a few endpoints are a fault
+// of these; at most of the endpoints they are overload.
 func (b *Balancer) countedLoad() float64 {
 	healthy, ejected := b.inFlightLoad()
 	if ejected > healthy {
@@ -96,9 +96,9 @@
 	return healthy, ejected
 }
 
-// pastObjective reports whether the request is a client's retry whose objective has passed, as its timeout
-// tells: where first tries have more, it is what is left of the deadline. Only first tries tell that, as some
-// clients give each retry the whole timeout.
+// pastObjective reports whether the request is a client's retry whose objective has passed. Its timeout
+// shows that: if it is shorter than that of first tries, it is what is left of the deadline. The timeouts of
+// marked retries are not learned from, as some clients give each retry the whole timeout.
 func (b *Balancer) pastObjective(r *request) bool {
 	longest := &r.classStats.longestTimeout
 	if !b.cfg.ClientsMarkRetries || !r.IsRetry {
@@ -156,7 +156,7 @@
 	return b.cfg.OverQuotaWeight + (1-b.cfg.OverQuotaWeight)*within
 }
 
-// retryAfter is when a rejected client should retry: once what responses take too long now has passed. A
+// retryAfter is when a rejected client should retry: after the time by which responses take too long now. A
 // longer wait would make the retry too late, and its work a waste.
 func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.cfg.RetryAfter {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -126,15 +126,15 @@
 }
 
 // atCapacity reports whether all sidecars together have so much at the endpoint that more would wait for too
-// long. One that fails is empty, but no better.
+// long. A failing endpoint counts as full, though it may be empty.
 func (b *Balancer) atCapacity(e *endpoint) bool {
 	most := math.Max(minAtCapacity, b.concurrency.scaled(atCapacityLoad)*b.presentCapacity(e))
 	return e.evidence.failing(b.now) || e.fleetInFlight()+1 > most
 }
 
 // fleetShedFraction is the fraction of the load to shed by what all sidecars have in flight. Where gossip is
-// lost, the others are held to have as much more than usual as this sidecar: its own responses tell of
-// overload only when the endpoints are too full already.
+// lost, the other sidecars are assumed to have grown as much as this one: its own responses show overload
+// only when the endpoints are too full already.
 func (b *Balancer) fleetShedFraction() float64 {
 	load := b.fleetLoad()
 	total := load.total
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -62,9 +62,9 @@
 	b.mergeObservation(e, b.cfg.PeerIndex, seen)
 }
 
-// mergeObservation adds to the evidence on an endpoint. One that failed more than one sidecar is ejected
-// before this one has paid for the lesson itself, and stays so while others try it in vain; once others are
-// answered it is used again.
+// mergeObservation adds to the evidence on an endpoint. An endpoint that failed more than one sidecar
+// is ejected before this one has sent it anything, and stays so while it fails others; once it responds to
+// others it is used again.
 func (b *Balancer) mergeObservation(e *endpoint, reporter int, seen observation) {
 	e.evidence.refresh(b.now)
 	e.evidence.addFailures(reporter, seen)
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -29,9 +29,9 @@
 	return best
 }
 
-// candidates weighs the endpoints of the subset for this pick. Where the subset may not have the request, as
-// its key stays in a cell, all endpoints are tried; and where all are ejected, so are these, as the cause is
-// hardly theirs.
+// candidates weighs the endpoints of the subset for this pick. If no endpoint of the subset is eligible, as
+// an idempotency key stays in a cell, all endpoints are candidates; and if all are ejected, so are these, as
+// the cause is hardly theirs.
 func (b *Balancer) candidates(r *request) (pool []*endpoint, totalWeight float64) {
 	pool = b.subset()
 	totalWeight = b.assignWeights(pool, r, false)
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -53,9 +53,9 @@
 }
 
 // hasBudget refills an endpoint's budget and reports whether an attempt is left in it: a hard limit, also for
-// retries. It is a part of the allowed multiple of what endpoints of its weight answer this sidecar. What
-// others leave, as they died or are not trusted with what must not run twice, is no budget; and few responses
-// are assumed, else the budgets of many sidecars with little traffic add up to too much.
+// retries. The budget is a part of the allowed multiple of the rate at which endpoints of this weight serve
+// the sidecar. The share of endpoints that died or are unhealthy does not add to it; and few responses are
+// assumed, else the budgets of many sidecars with little traffic would add up to too much.
 func (s *slowStart) hasBudget(e *endpoint, now float64) bool {
 	assumed := 1 / math.Max(s.weightInUse, e.rotation.weight)
 	served := s.responsesPerWeight.rate(now, assumed) * e.rotation.weight
--- a/internal/downstream/handler.go
+++ b/internal/downstream/handler.go
@@ -19,7 +19,7 @@
 	if recorder := headRecorderOf(req); recorder != nil {
 		recorder.beginHandling()
 	}
-	if req.ContentLength != 0 { // what is left of a body is read after the response too, also by net/http
+	if req.ContentLength != 0 { // net/http reads the rest of a body after the response, too
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.bodyTimeout))
 	}
 	if req.URL.Path == healthPath {
@@ -59,7 +59,7 @@
 	}
 }
 
-// closeIfDraining has the client's connection closed after the response once the sidecar is to stop.
+// closeIfDraining closes the client's connection after the response once the sidecar drains.
 func (s *Server) closeIfDraining(w http.ResponseWriter) {
 	if s.draining.Load() {
 		closeAfterResponse(w)
@@ -75,12 +75,12 @@
 	http.Error(w, err.Error(), err.Status)
 }
 
-// writeResponse passes a response on whole, with its length.
+// writeResponse forwards a complete response, with its length.
 func writeResponse(w http.ResponseWriter, r sidecar.Response) {
 	switch r.Result {
 	case balance.OK:
 		for _, name := range []string{"Content-Type", "Content-Encoding"} {
-			w.Header()[name] = r.Upstream.Header[name] // nil: none, and none is guessed
+			w.Header()[name] = r.Upstream.Header[name] // nil: net/http does not guess one
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(r.Upstream.Body)))
 		w.Write(r.Upstream.Body)
--- a/internal/downstream/head_recorder.go
+++ b/internal/downstream/head_recorder.go
@@ -24,7 +24,7 @@
 	drainMode *atomic.Int32 // the listener's
 
 	readAheadBudget *atomic.Int64 // the listener's
-	readAheadUsed   atomic.Int64  // what it has of that
+	readAheadUsed   atomic.Int64  // its part of that
 	readAhead       []byte        // only the server's reads use it, one at a time
 
 	mu             sync.Mutex // the server reads in the background while a handler runs
@@ -36,10 +36,11 @@
 	serverDeadline time.Time // the read deadline that the server set
 }
 
-// pastDeadline as a deadline ends a read that has got nothing. Unlike a close, it does not take away what one has got.
+// pastDeadline is a read deadline that ends a read of an idle connection. Unlike a close, it does not discard bytes that
+// have arrived.
 var pastDeadline = time.Unix(1, 0)
 
-// drain ends the connection if it is idle and is to end.
+// drain ends the connection if it is idle and the listener's drain mode covers it.
 func (r *headRecorder) drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +101,7 @@
 	return -1
 }
 
-// hasRequest reports whether a handler runs, or is about to: the head was seen, or all of it came with the request
+// hasRequest reports whether a handler runs or is about to run: the head was seen, or all of it arrived with the request
 // before.
 func (r *headRecorder) hasRequest() bool {
 	r.mu.Lock()
@@ -108,8 +109,8 @@
 	return r.headComplete || r.handling || len(r.head) == 0
 }
 
-// beginHandling marks the present request as handed to a handler, or as good as. It may have come whole with the one
-// before, and the connection have passed for idle when such were to end.
+// beginHandling marks the present request as handed to a handler, or about to be. If it arrived together with the one
+// before, the connection may have counted as idle when the listener began to drain; its deadline is taken back then.
 func (r *headRecorder) beginHandling() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -26,8 +26,8 @@
 	drainAll
 )
 
-// limitedListener bounds the open connections of a listener, as descriptors are needed elsewhere. One too many gets a
-// prompt 503.
+// limitedListener bounds the open connections of a listener, as descriptors are needed elsewhere. Connections beyond the
+// bound are answered with 503 and closed.
 type limitedListener struct {
 	net.Listener
 	slots           chan struct{} // one for each open connection
@@ -87,8 +87,8 @@
 	return t
 }
 
-// reject rejects a connection in the background. If many are being rejected, those behind it must not wait, and its
-// response may be lost to a reset.
+// reject rejects a connection in the background. If too many are being rejected already, it does not wait for the
+// client to read the response, which may then be lost to a reset.
 func (l *limitedListener) reject(c net.Conn) {
 	select {
 	case l.rejections <- struct{}{}:
@@ -101,7 +101,8 @@
 	}
 }
 
-// rejectConnection answers 503 and reads on for a while: a close with bytes unread would reset the response away.
+// rejectConnection answers 503 and keeps reading for a while: closing with unread bytes would reset the connection
+// before the client has the response.
 func rejectConnection(c net.Conn, reading time.Duration) {
 	defer c.Close()
 	c.SetWriteDeadline(time.Now().Add(rejectionTimeout)) // never reached: the first bytes on a connection are buffered
@@ -113,7 +114,7 @@
 	io.Copy(io.Discard, c)
 }
 
-// drain ends the connections of which no byte of a further request was read. No more are accepted before drainAll.
+// drain ends the idle connections that the mode covers. Before drainAll, the listener must be closed.
 func (l *limitedListener) drain(mode drainMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -9,17 +9,17 @@
 
 const (
 	// maxReadAhead bounds what is read of further requests on one connection while a request is being answered.
-	// Clients send one at a time, and the largest is smaller; who sends more hides that it goes away, and passes for
-	// one that has gone.
+	// Clients send one request at a time, and the largest is smaller. Behind more data than this a disconnect could
+	// not be noticed, so a client that sends more counts as disconnected.
 	maxReadAhead        = 2 * upstream.MaxBodySize
 	readAheadBufferSize = 4 << 10
 )
 
 var errTooMuchReadAhead = errors.New("too much read ahead of a response")
 
-// readOrReadAhead takes what was read ahead first. net/http waits for the client's going away by reading one byte while
-// a handler runs, and waits no more once it has one of a further request. So it gets none: what comes is read ahead,
-// until the handler is done, which sets a deadline, or the client has gone.
+// readOrReadAhead returns what was read ahead first. While a handler runs, net/http detects a disconnect by reading one
+// byte, and stops doing so once it has a byte of a further request. So it gets none: what arrives is read ahead until
+// the handler is done, when net/http sets a deadline, or the client has disconnected.
 func (r *headRecorder) readOrReadAhead(p []byte) (int, error) {
 	if len(p) > 1 || !r.hasRequest() {
 		if n := r.consumeReadAhead(p); n > 0 {
@@ -31,8 +31,8 @@
 	return 0, r.fillReadAhead(p)
 }
 
-// fillReadAhead reads ahead until that ends with an error. The first buffer may be of one byte, as most clients send
-// nothing ahead.
+// fillReadAhead reads ahead until a read fails. The first buffer may hold a single byte, as most clients send nothing
+// ahead.
 func (r *headRecorder) fillReadAhead(buf []byte) error {
 	for {
 		n, err := r.Conn.Read(buf)
@@ -75,8 +75,8 @@
 	r.readAheadBudget.Add(-n)
 }
 
-// releaseReadAhead gives back up to n bytes of the budget. The connection may be closed, and all given back, while one
-// reads.
+// releaseReadAhead gives back up to n bytes of the budget. The connection may be closed, which
+// gives all of them back, during a read.
 func (r *headRecorder) releaseReadAhead(n int64) {
 	for {
 		used := r.readAheadUsed.Load()
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -17,7 +17,7 @@
 	"pebblelift/internal/upstream"
 )
 
-// affinityParameter is the query parameter that names what a request is about.
+// affinityParameter is the query parameter that names the object of a request.
 const affinityParameter = "sid"
 
 // RequestError says what is wrong with a request, and the status that its client gets.
@@ -47,7 +47,7 @@
 	errLargeBody   = errors.New("body over 64 KiB")
 )
 
-// singleFields may stand in a request once at most: endpoints and the sidecar might go by different ones.
+// singleFields must not be repeated in a request: endpoints and the sidecar might use different values.
 var singleFields = []string{
 	headers.TraceID, headers.Class, headers.Tenant, headers.Timeout, headers.IdempotencyKey,
 }
@@ -145,6 +145,6 @@
 	case err != nil:
 		return badRequest(err)
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Time{}) // else it would pass for the client's going away
+	http.NewResponseController(w).SetReadDeadline(time.Time{}) // else it would look like a disconnect
 	return nil
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// acceptAfterShutdown: new connections come for up to 0.4 s after SIGTERM.
+	// acceptAfterShutdown is how long connections are accepted after SIGTERM: new ones come for up to 0.4 s.
 	acceptAfterShutdown = 600 * time.Millisecond
 	// SIGKILL comes no sooner than the longest deadline, counted as maxCountedDeadline where it is longer, plus 0.7 s.
 	// The process ends a little earlier, and what it has accepted is answered shutdownMargin earlier still.
 	maxCountedDeadline = 3 * time.Second
 	shutdownMargin     = 100 * time.Millisecond
-	// Anyone may connect, and a place that is held for nothing is lacking to a client. A connection without a request
-	// may be closed after 2 s, and whoever sends none, or half of one, must be rid of within 3 s.
+	// Anyone may connect, and an unused connection takes a place from a client. A connection without a request may be
+	// closed after 2 s, and one with no request or only a part of one must be answered or closed within 3 s.
 	headerTimeout = 2200 * time.Millisecond
 	bodyTimeout   = 600 * time.Millisecond
 	idleTimeout   = 2500 * time.Millisecond
@@ -83,8 +83,8 @@
 }
 
 // drain closes idle connections while the listener still accepts, so that clients come again on new ones, then the
-// listener, then the connections as their requests end. It is not http.Server.Shutdown, which gives no answer to a
-// request of which it reads the last byte afterwards.
+// listener, then the connections as their requests end. It does not use http.Server.Shutdown, which drops a request of
+// which the last byte arrives afterwards.
 func (s *Server) drain(listener *limitedListener, failed <-chan error) error {
 	s.draining.Store(true)
 	s.loop.Shutdown(acceptAfterShutdown + s.drainTimeout - shutdownMargin)
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// UnknownSender is the peer index of who sent a message from an address that is no sidecar's.
+	// UnknownSender is the sender of a message from an address that belongs to no sidecar.
 	UnknownSender   = -1
 	maxDatagramSize = 256                   // bytes, by the protocol
 	sendTimeout     = 10 * time.Millisecond // a datagram may be lost, but the event loop must not wait for it
@@ -67,8 +67,8 @@
 	}
 }
 
-// Receive hands each message to handle, with its sender's peer index, until the socket is closed. A failed read does
-// not end it: the socket is not lost by it.
+// Receive hands each message to handle, with its sender's peer index, until the socket is closed. It goes on
+// after a failed read, as the socket is still usable.
 func (t *Transport) Receive(handle func(sender int, data []byte)) {
 	buf := make([]byte, maxDatagramSize+1) // one byte more shows what is too long
 	for {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -23,8 +23,8 @@
 	queueSize        = 1024
 )
 
-// Loop is the event loop. Its methods may be called from any goroutine. What may be touched on the loop's goroutine only
-// is in a dispatcher, which just the functions in the queue are handed.
+// Loop is the event loop. Its methods may be called from any goroutine. State that belongs to the loop's goroutine is in
+// the dispatcher, which only the functions in the queue are handed.
 type Loop struct {
 	clock   clock.Clock
 	config  *config.Config
@@ -103,7 +103,7 @@
 	}
 }
 
-// enqueue has f run on the loop. It may be called from any goroutine.
+// enqueue runs f on the loop's goroutine, unless the loop has ended.
 func (l *Loop) enqueue(f func(*dispatcher)) {
 	select {
 	case l.queue <- f:
@@ -111,7 +111,7 @@
 	}
 }
 
-// Shutdown has all requests answered within a time, those to come as well.
+// Shutdown makes the balancer answer all requests, present and future, within a time.
 func (l *Loop) Shutdown(within time.Duration) {
 	l.enqueue(func(d *dispatcher) { d.handle(balance.Shutdown{Timeout: clock.Millis(within)}) })
 }
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -30,8 +30,8 @@
 	return c, nil
 }
 
-// reuse takes the newest idle connection, which is the least likely to be closed by the endpoint, but leaves those
-// alone on which more of the last response could still come. It returns nil if there is none.
+// reuse takes the newest idle connection, which is the least likely to be closed by the endpoint, but skips
+// those in their quiet period. It returns nil if there is none.
 func (p *Pool) reuse(e *Endpoint, x *roundTrip) *conn {
 	p.mu.Lock()
 	now, n := time.Now(), len(e.idle)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -65,7 +65,7 @@
 }
 
 // readLoop is a connection's reader goroutine: it takes in responses, and closes the connection when the endpoint does,
-// when it has been idle for too long or when there are bytes that nobody asked for.
+// when it has been idle for too long or when unexpected bytes arrive.
 func (p *Pool) readLoop(c *conn) {
 	for {
 		c.limit.remaining = maxResponseSize
@@ -124,8 +124,8 @@
 	return x, readNext
 }
 
-// readChecked reads a response. One that came before all of its request had left ends the connection, where the rest
-// would be taken for the next request, and it cannot be the answer to what was not whole.
+// readChecked reads a response. If it arrived before all of the request was written, the connection is closed, as the
+// rest would be taken for the next request, and the response does not count, as it cannot belong to the request.
 func (p *Pool) readChecked(c *conn, x *roundTrip) (r Response, reusable bool) {
 	r, reusable = readResponse(c.reader, x.method, p.options.ReportFields)
 	if r.Result == balance.Reset || !x.answeredEarly() {
