--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -62,7 +62,7 @@
 		concurrency:      newConcurrencyLimiter(),
 		capacity:         newCapacityModel(),
 		subsets:          newSubsetRing(&cfg),
-		slowStart:        newSlowStart(&cfg),
+		slowStart:        newSlowStart(&cfg, longestObjective),
 		healthChecks:     healthChecker{busyFraction: 1},
 		retryBudget:      retryBudget{tokens: retryBudgetBurst / 2},
 		polls:            newPollSchedule(&cfg),
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -52,14 +52,18 @@
 	anyReport := false
 	for _, e := range pool {
 		e.rotation.weight = 0
-		if e.Lifecycle == Ready && !e.outlier.ejected(b.now) {
-			weightInUse += b.weightOf(e) / e.outlier.healthMultiplier(b.now)
+		if e.Lifecycle != Ready {
+			continue
+		}
+		weight := b.weightOf(e)
+		if !e.outlier.ejected(b.now) {
+			weightInUse += weight / e.outlier.healthMultiplier(b.now)
 		}
 		if !b.eligible(r, e) || !evenUnhealthy && b.unhealthyFor(r, e) {
 			continue
 		}
-		e.rotation.weight = b.weightOf(e)
-		total += e.rotation.weight
+		e.rotation.weight = weight
+		total += weight
 		e.rotation.loadKnown = b.hasFreshReport(e)
 		anyReport = anyReport || e.rotation.loadKnown
 	}
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -29,13 +29,13 @@
 	refilledAt float64
 }
 
-func newSlowStart(cfg *Config) slowStart {
+func newSlowStart(cfg *Config, longestObjective float64) slowStart {
 	return slowStart{
 		initialFraction:    cfg.SlowStartFraction,
 		duration:           cfg.SlowStartDuration,
 		overloadFactor:     cfg.OverloadFactor,
 		overloadWindow:     cfg.OverloadWindow,
-		responsesPerWeight: newRateMeter(cfg.longestObjective()),
+		responsesPerWeight: newRateMeter(longestObjective),
 	}
 }
 
