--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"net"
 	"os"
 	"sync/atomic"
@@ -77,7 +78,7 @@
 		case endConnection:
 			c.Close()
 			if x != nil {
-				x.done <- failed(balance.Reset, errors.Join(ErrConnectionEnded, err))
+				x.done <- failed(balance.Reset, connectionEnded(err))
 			}
 			return
 		}
@@ -96,6 +97,14 @@
 	}
 }
 
+// connectionEnded says why a connection ended; err is nil where unexpected bytes arrived.
+func connectionEnded(err error) error {
+	if err == nil {
+		return ErrConnectionEnded
+	}
+	return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
+}
+
 // readStep is what a reader goroutine does next.
 type readStep int
 
