--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -5,19 +5,21 @@
 	"math"
 )
 
-// attempt is one attempt of a request.
+// attempt is the state of one attempt of a request.
 type attempt struct {
-	endpoint    *endpoint
-	sentAt      float64
-	inFlight    bool
-	notExecuted bool // it is proved that it did not run
-	overdue     bool // counted as an error of its endpoint already
+	endpoint    *endpoint // endpoint that the attempt was sent to
+	sentAt      float64   // instant at which the attempt was started, ms
+	inFlight    bool      // the attempt has not ended
+	notExecuted bool      // the result proves that the endpoint did not run the attempt
+	overdue     bool      // the attempt took too long and has been counted as an error of its endpoint
 }
 
-// noAttempt is an attempt number that no attempt has.
+// noAttempt is a number that no attempt has. closeRequest passes it to cancelAttemptsExcept to cancel every
+// attempt in flight.
 const noAttempt = -1
 
-// startAttempt sends a request to an endpoint and counts the attempt.
+// startAttempt sends a request to an endpoint and counts the attempt there. A retry takes a token from the
+// retry budget.
 func (b *Balancer) startAttempt(r *request, e *endpoint) {
 	if len(r.attempts) > 0 {
 		b.retryBudget.withdraw()
@@ -31,8 +33,8 @@
 	b.emit(Action{Kind: StartAttempt, Request: r.ID, Endpoint: e.ID})
 }
 
-// attemptEnded counts an attempt as no longer in flight.
-func (r *request) attemptEnded(a *attempt, result Result) {
+// endAttempt records the result of an attempt and counts it as no longer in flight.
+func (r *request) endAttempt(a *attempt, result Result) {
 	a.inFlight = false
 	a.notExecuted = result.NotExecuted()
 	a.endpoint.inFlight--
@@ -40,7 +42,7 @@
 	r.inFlight--
 }
 
-// handleAttemptResult takes in the end of an attempt and goes on with its request.
+// handleAttemptResult records the result of an attempt and takes the next step of its request.
 func (b *Balancer) handleAttemptResult(event AttemptResult) error {
 	r := b.requests[event.Request]
 	if r == nil || !r.hasInFlight(event.Attempt) {
@@ -48,7 +50,7 @@
 	}
 	event.Latency = clampNonNegative(event.Latency, math.MaxFloat32)
 	a := &r.attempts[event.Attempt]
-	r.attemptEnded(a, event.Result)
+	r.endAttempt(a, event.Result)
 	b.recordAttemptResult(r, a, event)
 	if r.closed || event.RequestClosed || r.streaming {
 		b.closeRequest(r)
@@ -57,11 +59,12 @@
 	return nil
 }
 
+// hasInFlight reports whether the attempt with the given number is in flight.
 func (r *request) hasInFlight(number int) bool {
 	return number >= 0 && number < len(r.attempts) && r.attempts[number].inFlight
 }
 
-// cancelAttemptsExcept cancels the attempts of a request that are in flight, but for one that is kept.
+// cancelAttemptsExcept cancels the attempts in flight of a request, except the one with the number keep.
 func (b *Balancer) cancelAttemptsExcept(r *request, keep int) {
 	if !b.cfg.CancelAttempts {
 		return
@@ -73,20 +76,21 @@
 	}
 }
 
-// recordAttemptResult draws from the end of an attempt what it says of the endpoint and of the load.
+// recordAttemptResult updates the state of the endpoint and of the load by the result of an attempt.
 func (b *Balancer) recordAttemptResult(r *request, a *attempt, event AttemptResult) {
 	switch event.Result {
 	case OK:
 		b.recordSuccess(r, a.endpoint, event.Latency)
-	case Canceled, NotSent: // nothing was learned
+	case Canceled, NotSent: // the result tells nothing about the endpoint
 	default:
 		b.recordFailure(r, a, event)
 	}
 }
 
+// recordSuccess records a response with its latency in ms, and clears the errors held against the endpoint.
 func (b *Balancer) recordSuccess(r *request, e *endpoint, latency float64) {
 	if e.outlier.presumedDead && !b.slowStart.warmingUp(e, b.now) {
-		b.beginSlowStart(e, b.now) // discovery has yet to report the restart
+		b.beginSlowStart(e, b.now) // the endpoint restarted, which discovery has not reported yet
 	}
 	e.outlier.clear()
 	b.recordObservation(e, observation{responded: true})
@@ -103,8 +107,10 @@
 	r.classStats.recordLatency(latency)
 }
 
+// recordFailure records a failed attempt as an error of its endpoint, unless it was counted when it became
+// overdue. A failed connect is always recorded.
 func (b *Balancer) recordFailure(r *request, a *attempt, event AttemptResult) {
-	if event.Result == TimedOut { // else the slowest responses of all would never be seen
+	if event.Result == TimedOut { // without timeouts the recorded latencies would lack the slowest attempts
 		b.recordLatency(event.Latency / r.class.LatencyObjective)
 	}
 	connectFailed := event.Result == ConnectFailed
@@ -114,7 +120,8 @@
 	a.endpoint.outlier.recordConnectionFault(event.Result)
 }
 
-// recordLatency takes in a latency, as a fraction of the objective, for this sidecar and for the fleet.
+// recordLatency records a latency, as a fraction of the latency objective, in the statistics of this sidecar
+// and of the whole fleet.
 func (b *Balancer) recordLatency(fraction float64) {
 	b.concurrency.latency.recordOwn(b.now, fraction)
 	b.latency.record(fraction)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -7,25 +7,29 @@
 	"slices"
 )
 
-// The reasons for which Handle does not take an event.
+// The errors that Handle returns for an invalid event.
 var (
+	// ErrDuplicateRequest is the error of a Request whose ID belongs to a request that has not ended.
 	ErrDuplicateRequest = errors.New("the ID is in use")
-	ErrUnknownClass     = errors.New("unknown class")
-	ErrUnknownAttempt   = errors.New("not in flight")
+	// ErrUnknownClass is the error of a Request whose Class is not an index of Config.Classes.
+	ErrUnknownClass = errors.New("unknown class")
+	// ErrUnknownAttempt is the error of an AttemptResult for an attempt that is not in flight.
+	ErrUnknownAttempt = errors.New("not in flight")
 )
 
-// Balancer takes the decisions of one sidecar. It is not safe for concurrent use. Each concern has a type of
-// its own that owns its state; the methods of Balancer are what needs more than one of them.
+// Balancer makes the decisions of one sidecar. It is not safe for concurrent use. Each concern, such as load
+// shedding or retries, has a type that owns its state; logic that needs several of them is in methods of
+// Balancer.
 type Balancer struct {
 	cfg              Config
-	longestObjective float64 // of all classes
+	longestObjective float64 // longest latency objective of all classes, ms
 	random           randomSource
-	now              float64
-	shutdownAt       float64  // when all requests must have been answered
-	actions          []Action // of the present event
-	stats            Stats    // the counts only
+	now              float64  // time of the latest event, ms
+	shutdownAt       float64  // instant by which all requests must be answered, ms; +Inf before a Shutdown
+	actions          []Action // actions that answer the current event
+	stats            Stats    // only the counts; Stats fills in the other fields
 
-	endpoints    []*endpoint // listed ones, in order of ID
+	endpoints    []*endpoint // listed endpoints in order of ID
 	endpointByID map[EndpointID]*endpoint
 	requests     map[RequestID]*request
 
@@ -43,8 +47,8 @@
 	gossip       gossipState
 }
 
-// New returns a balancer with the given settings, of which unusable values are replaced by defaults. Start
-// begins its life.
+// New returns a balancer with the given settings, in which unusable values are replaced by defaults. The
+// caller must call Start before Handle.
 func New(cfg Config) *Balancer {
 	cfg = cfg.withDefaults()
 	longestObjective := cfg.longestObjective()
@@ -70,7 +74,8 @@
 	}
 }
 
-// Start begins the balancer's life. The actions are valid until the next call.
+// Start starts the balancer at the instant now, in ms, and returns the first actions. The actions are valid
+// until the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.now = now
 	b.requestRate.startedAt = now
@@ -85,10 +90,11 @@
 	return b.actions
 }
 
-// Handle takes one event and returns what to do. The actions are valid until the next call. An error wraps
-// one of the Err values above and means that the event is impossible; the balancer is unchanged then.
+// Handle processes one event that happened at the instant now, in ms, and returns the actions that the caller
+// must carry out. The actions are valid until the next call. For an invalid event Handle returns an error
+// that wraps ErrDuplicateRequest, ErrUnknownClass or ErrUnknownAttempt, and the event has no effect.
 func (b *Balancer) Handle(now float64, event Event) ([]Action, error) {
-	if now > b.now && !math.IsInf(now, 1) { // time never goes back
+	if now > b.now && !math.IsInf(now, 1) { // the balancer's time never goes back
 		b.now = now
 	}
 	b.actions = b.actions[:0]
@@ -98,6 +104,7 @@
 	return b.actions, nil
 }
 
+// dispatch calls the handler for the type of the event. An event of an unknown type is ignored.
 func (b *Balancer) dispatch(event Event) error {
 	switch event := event.(type) {
 	case Request:
@@ -122,10 +129,11 @@
 	return nil
 }
 
-// The tokens of timers that belong to no request; a request's timer has its ID, below 2^52, for a token.
+// The tokens of timers that belong to no request. They differ from all tokens of requests' timers, which are
+// the requests' IDs and below 2^52.
 const (
-	pollTimer   = 1 << 60
-	gossipTimer = pollTimer + 1
+	pollTimer   = 1 << 60       // token of the timer for the next call to discovery
+	gossipTimer = pollTimer + 1 // token of the timer for the next gossip message
 )
 
 func (b *Balancer) handleTimer(event Timer) {
@@ -139,16 +147,17 @@
 	}
 }
 
-// handleShutdown brings the end of each request's time forward to the end of the process.
+// handleShutdown moves the deadlines of all open requests forward to the end of the process.
 func (b *Balancer) handleShutdown(event Shutdown) {
 	b.shutdownAt = b.now + clampNonNegative(event.Timeout, math.MaxFloat64)
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		r := b.requests[id]
 		r.deadline = math.Min(r.deadline, b.shutdownAt)
 		if !r.closed && !r.streaming {
-			b.scheduleWake(r)
+			b.scheduleTimer(r)
 		}
 	}
 }
 
+// emit adds an action to the answer to the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balance/benchmark_test.go
+++ b/balance/benchmark_test.go
@@ -7,16 +7,17 @@
 	"pebblelift/balance"
 )
 
-// gossipTimerToken is the token of the timer at which a sidecar sends its gossip.
+// gossipTimerToken is the token of the timer that makes a sidecar send its gossip.
 const gossipTimerToken = 1<<60 + 1
 
-// benchmarkFleet is a size at which the decisions are timed.
+// benchmarkFleet is a fleet size at which the benchmarks run: the numbers of sidecars and endpoints.
 type benchmarkFleet struct{ sidecars, endpoints int }
 
 var benchmarkFleets = []benchmarkFleet{{80, 60}, {300, 200}}
 
 func (f benchmarkFleet) String() string { return fmt.Sprintf("%dx%d", f.sidecars, f.endpoints) }
 
+// config returns the settings of the sidecar with the given peer index.
 func (f benchmarkFleet) config(index int) balance.Config {
 	return balance.Config{
 		Seed: uint64(index + 1), PeerIndex: index, PeerCount: f.sidecars, Gossip: true, Subscribe: true,
@@ -30,6 +31,7 @@
 	}
 }
 
+// list returns the endpoint list of the fleet.
 func (f benchmarkFleet) list() []balance.Endpoint {
 	list := make([]balance.Endpoint, f.endpoints)
 	for i := range list {
@@ -38,11 +40,11 @@
 	return list
 }
 
-// benchmarkSidecar drives one balancer in virtual time.
+// benchmarkSidecar passes events to one balancer, with a simulated clock.
 type benchmarkSidecar struct {
 	b        *testing.B
 	balancer *balance.Balancer
-	now      float64
+	now      float64 // current time, ms
 	lastID   balance.RequestID
 }
 
@@ -61,7 +63,7 @@
 	return actions
 }
 
-// request brings a request and returns where its first attempt went.
+// request sends a new request and returns the endpoint of its first attempt, and whether one was started.
 func (s *benchmarkSidecar) request() (to balance.EndpointID, started bool) {
 	s.now += 5
 	s.lastID++
@@ -73,10 +75,12 @@
 	return 0, false
 }
 
+// respond ends the attempt of the last request with success.
 func (s *benchmarkSidecar) respond(to balance.EndpointID) {
 	s.handle(balance.AttemptResult{Request: s.lastID, Endpoint: to, Result: balance.OK, Latency: 60, RequestClosed: true})
 }
 
+// BenchmarkRequestAndResponse measures the handling of one request and its response.
 func BenchmarkRequestAndResponse(b *testing.B) {
 	for _, fleet := range benchmarkFleets {
 		b.Run(fleet.String(), func(b *testing.B) {
@@ -91,6 +95,7 @@
 	}
 }
 
+// BenchmarkDelta measures the handling of an endpoint update with one changed entry.
 func BenchmarkDelta(b *testing.B) {
 	for _, fleet := range benchmarkFleets {
 		b.Run(fleet.String(), func(b *testing.B) {
@@ -107,7 +112,8 @@
 	}
 }
 
-// A round is one message sent with news of one endpoint, and received by a peer.
+// BenchmarkGossipRound measures a gossip round: a sidecar handles a request, sends a message about the change
+// at that endpoint, and a peer receives the message.
 func BenchmarkGossipRound(b *testing.B) {
 	for _, fleet := range benchmarkFleets {
 		b.Run(fleet.String(), func(b *testing.B) {
--- a/balance/config.go
+++ b/balance/config.go
@@ -2,131 +2,200 @@
 
 import "math"
 
-// Idempotency says whether a request may run more than once.
+// Idempotency tells whether a request may run more than once.
 type Idempotency uint8
 
 // The idempotency of a class of requests.
 const (
-	Idempotent        Idempotency = iota // may be repeated at will
-	IdempotentWithKey                    // endpoints drop repeats of a key, within a scope and a window
-	NonIdempotent                        // must never run twice
+	// Idempotent means that requests may be repeated any number of times.
+	Idempotent Idempotency = iota
+	// IdempotentWithKey means that requests carry an idempotency key: endpoints drop a repeated key within
+	// its DedupScope and DedupWindow.
+	IdempotentWithKey
+	// NonIdempotent means that a request must never run twice.
+	NonIdempotent
 )
 
-// DedupScope says which endpoints recognize a repeated idempotency key.
+// DedupScope tells which endpoints recognize a repeated idempotency key and drop the repetition.
 type DedupScope uint8
 
-// The scopes of an idempotency key.
+// The scopes in which endpoints recognize a repeated idempotency key.
 const (
-	DedupAll  DedupScope = iota // every endpoint
-	DedupZone                   // those of the zone in which it was first seen
-	DedupCell                   // those of the cell in which it was first seen
+	DedupAll  DedupScope = iota // every endpoint recognizes a repeated key
+	DedupZone                   // only endpoints of the zone that first got a key recognize its repetition
+	DedupCell                   // only endpoints of the cell that first got a key recognize its repetition
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      float64 // how long a key is remembered, from the first attempt that may have run
-	LatencyObjective float64 // a response within this has its full value
-	ObjectivePerWork float64 // the objective grows by this multiple of the request's own work
-	Deadline         float64 // the client's longest wait over all its retries
-	PriorityWeight   float64 // the value of a response
-	LateWeight       float64 // the fraction of it that is left after the objective
-	Stream           bool
+	// Idempotency tells whether a request of the class may run more than once.
+	Idempotency Idempotency
+	// DedupScope tells which endpoints recognize a repeated idempotency key of the class.
+	DedupScope DedupScope
+	// DedupWindow is the time in ms for which endpoints remember an idempotency key, counted from the first
+	// attempt that may have run. A negative value or NaN means forever.
+	DedupWindow float64
+	// LatencyObjective is the time in ms from its arrival in which a request must be answered for the
+	// response to have its full value. The default is Deadline.
+	LatencyObjective float64
+	// ObjectivePerWork is the time in ms by which the objective of a request grows for each ms of its work.
+	ObjectivePerWork float64
+	// Deadline is the longest time in ms that a client waits for a response, over all its retries. The
+	// default is LatencyObjective.
+	Deadline float64
+	// PriorityWeight is the value of a response within the latency objective, relative to other classes.
+	PriorityWeight float64
+	// LateWeight is the fraction, from 0 to 1, of PriorityWeight that a response after the latency objective
+	// has.
+	LateWeight float64
+	// Stream is set if the responses of the class are streamed.
+	Stream bool
 }
 
-// Tenant is one customer of the service.
+// Tenant describes one customer of the service.
 type Tenant struct {
-	QuotaRate  float64 // requests per second within its quota, over all sidecars
-	QuotaShare float64 // its fraction of the service
+	// QuotaRate is the number of requests per second, over all sidecars, that are within the tenant's quota.
+	QuotaRate float64
+	// QuotaShare is the fraction, from 0 to 1, of the service that is within the tenant's quota; 0 means that
+	// there is no quota.
+	QuotaShare float64
 }
 
-// ReportSource says how load reports reach a sidecar.
+// ReportSource tells how load reports reach a sidecar.
 type ReportSource uint8
 
 // The sources of load reports.
 const (
-	ReportNone        ReportSource = iota
-	ReportPiggyback                // in responses
-	ReportHealthCheck              // in the results of health checks
+	ReportNone        ReportSource = iota // endpoints send no load reports
+	ReportPiggyback                       // load reports come in the responses to attempts
+	ReportHealthCheck                     // load reports come in the results of health checks
 )
 
-// ReportField is one value of a load report.
+// ReportField identifies one value of a load report.
 type ReportField uint8
 
-// The fields of load reports; FieldUnknown is skipped.
+// The fields of load reports.
 const (
-	FieldUnknown   ReportField = iota
-	FieldInFlight              // requests being handled
-	FieldQueue                 // requests waiting
-	FieldUtil                  // fraction of CPU in use
-	FieldLatency               // recent service time
-	FieldRate                  // requests served per second
-	FieldErrorRate             // errors per second
+	FieldUnknown   ReportField = iota // a value of unknown meaning, which is skipped
+	FieldInFlight                     // the number of requests that the endpoint is handling
+	FieldQueue                        // the number of requests that wait at the endpoint
+	FieldUtil                         // the fraction of the endpoint's CPU that is in use, from 0 to 1
+	FieldLatency                      // the recent service time of the endpoint's requests in ms
+	FieldRate                         // the number of requests that the endpoint serves per second
+	FieldErrorRate                    // the number of errors of the endpoint per second
 )
 
-// Config holds the settings that a sidecar starts with.
+// Config holds the settings of a Balancer. New replaces unusable values by defaults.
 type Config struct {
-	Seed            uint64
-	PeerIndex       int // this sidecar's place among all sidecars
-	PeerCount       int // how many sidecars there are
-	Zone            int
-	Classes         []Class
-	Tenants         []Tenant
-	OverQuotaWeight float64 // the fraction of its value that a request beyond its tenant's quota has
-	BatchInterval   float64 // the least time between two batches of events
-
-	Subscribe    bool          // the endpoint list must be polled for or watched
-	LocalAgent   bool          // discovery is this sidecar's own agent: changes count as notified at once
-	ReportSource ReportSource  // how load reports come
-	ReportFields []ReportField // what they hold, in order
-
+	// Seed seeds the balancer's random numbers.
+	Seed uint64
+	// PeerIndex is the index of this sidecar among all sidecars, from 0.
+	PeerIndex int
+	// PeerCount is the number of all sidecars, including this one.
+	PeerCount int
+	// Zone is the number of the zone that this sidecar runs in.
+	Zone int
+	// Classes describes the classes of requests; Request.Class is an index into it.
+	Classes []Class
+	// Tenants describes the tenants; Request.Tenant is an index into it.
+	Tenants []Tenant
+	// OverQuotaWeight is the fraction, from 0 to 1, of its value that a request beyond its tenant's quota
+	// has.
+	OverQuotaWeight float64
+	// BatchInterval is the shortest time in ms between two batches of events from the caller.
+	BatchInterval float64
+
+	// Subscribe is set if the sidecar itself has to poll discovery for the endpoint list or watch it.
+	Subscribe bool
+	// LocalAgent is set if discovery is an agent of this sidecar alone. The sidecar then counts as notified
+	// of a change at the moment of the change.
+	LocalAgent bool
+	// ReportSource tells how load reports reach the sidecar.
+	ReportSource ReportSource
+	// ReportFields identifies the values of a load report, in their order.
+	ReportFields []ReportField
+
+	// ClientsMarkRetries is set if clients mark their retries as such; see Request.IsRetry.
 	ClientsMarkRetries bool
-	MaxAttempts        int
-	Hedging            bool    // two attempts of a request may be in flight together
-	CancelAttempts     bool    // attempts may be canceled
-	HealthChecks       bool    // endpoints may be health checked
-	Gossip             bool    // sidecars may send gossip to each other
-	RetryAfter         bool    // rejections carry Retry-After
-	MaxRetryAfter      float64 // the longest Retry-After that a client obeys
-	ConnectTimeout     float64
-
-	DrainGrace        float64 // attempts at a draining or removed endpoint must stop within this
-	SlowStartFraction float64 // an endpoint starts with at least this fraction of its capacity
-	SlowStartDuration float64 // and has all of it after this
-	OverloadFactor    float64 // an endpoint that warms up fails when sent this multiple of its capacity
-	OverloadWindow    float64 // for this long
-	PollInterval      float64 // without a watch the endpoint list must be polled this often
-	ResponseSlack     float64 // a response this long after the client's deadline still counts
-
-	Goal      Goal
+	// MaxAttempts is the largest number of attempts that a request may have, including the first.
+	MaxAttempts int
+	// Hedging is set if two attempts of a request may be in flight at the same time.
+	Hedging bool
+	// CancelAttempts is set if attempts in flight may be canceled.
+	CancelAttempts bool
+	// HealthChecks is set if the sidecar may send health checks to endpoints.
+	HealthChecks bool
+	// Gossip is set if sidecars may send gossip messages to each other.
+	Gossip bool
+	// RetryAfter is set if rejections carry Retry-After.
+	RetryAfter bool
+	// MaxRetryAfter is the longest Retry-After, in ms, that clients follow; 0 means that there is no limit.
+	MaxRetryAfter float64
+	// ConnectTimeout is the time in ms in which a connection to an endpoint must be made.
+	ConnectTimeout float64
+
+	// DrainGrace is the time in ms, from the moment at which an endpoint starts draining or is removed, after
+	// which the endpoint must get no more attempts.
+	DrainGrace float64
+	// SlowStartFraction is the least fraction of its capacity, from 0 to 1, that an endpoint has when its
+	// process starts. The default is 1.
+	SlowStartFraction float64
+	// SlowStartDuration is the time in ms from the start of its process after which an endpoint has its whole
+	// capacity.
+	SlowStartDuration float64
+	// OverloadFactor is the multiple of its capacity that makes a warming-up endpoint fail if the endpoint
+	// gets this load for OverloadWindow.
+	OverloadFactor float64
+	// OverloadWindow is the time in ms after which a warming-up endpoint fails under a load of OverloadFactor
+	// times its capacity.
+	OverloadWindow float64
+	// PollInterval is the longest time in ms between two polls of discovery for a sidecar without a watch.
+	PollInterval float64
+	// ResponseSlack is the time in ms after the client's deadline in which a response still counts.
+	ResponseSlack float64
+
+	// Goal weighs the parts of the service level, which decides which load is shed.
+	Goal Goal
+	// Penalties holds the costs that lower the service level.
 	Penalties Penalties
 }
 
-// Goal weighs the parts of the service level; load is shed by it.
+// Goal weighs the parts of the service level. The balancer sheds first the load that adds least to the goal.
 type Goal struct {
-	Overall     float64
+	// Overall is the weight of the service level over all requests.
+	Overall float64
+	// WorstWindow is the weight of the service level in the worst time window.
 	WorstWindow float64
-	WorstClass  float64
+	// WorstClass is the weight of the service level of the worst-served class.
+	WorstClass float64
+	// WorstTenant is the weight of the service level of the worst-served tenant.
 	WorstTenant float64
 }
 
-// Penalties lower the service level, each per unit of its own.
+// Penalties holds the costs that lower the service level. Each field is the cost of one unit of its own kind.
 type Penalties struct {
-	CrossZone   float64
-	Waste       float64
-	Handshake   float64
+	// CrossZone is the cost of responses from endpoints outside the sidecar's zone.
+	CrossZone float64
+	// Waste is the cost of work at endpoints that serves no client.
+	Waste float64
+	// Handshake is the cost of new connections to endpoints.
+	Handshake float64
+	// HealthCheck is the cost of health checks: the fraction of the service level that one health check per
+	// request costs.
 	HealthCheck float64
-	Gossip      float64
+	// Gossip is the cost of gossip messages.
+	Gossip float64
+	// LateFailure is the cost of requests that fail late.
 	LateFailure float64
 }
 
-// defaultDeadline is that of a class with neither a deadline nor an objective.
-const defaultDeadline = 1000 // ms
+// defaultDeadline is the deadline and the latency objective, in ms, of a class that specifies neither.
+const defaultDeadline = 1000
 
-// withDefaults returns usable settings. Every number that is negative, infinite or not a number counts as not
-// given. Defaults: the objective is the deadline and the other way round; an idempotency key is remembered
-// forever; one attempt; one sidecar; an endpoint starts with all its capacity; the goal is the overall level.
+// withDefaults returns a copy of the settings in which unusable values are replaced by defaults. Every number
+// that is negative, infinite or NaN counts as not given. The defaults are: the latency objective equals the
+// deadline and vice versa; an idempotency key is remembered forever; a request has one attempt; there is one
+// sidecar; an endpoint starts with its whole capacity; the goal is the overall service level.
 func (c Config) withDefaults() Config {
 	c.Classes = append([]Class(nil), c.Classes...)
 	for i := range c.Classes {
@@ -153,6 +222,7 @@
 	return c
 }
 
+// setDefaults replaces unusable values of the class by defaults.
 func (c *Class) setDefaults() {
 	sanitize(&c.LatencyObjective, &c.ObjectivePerWork, &c.Deadline, &c.PriorityWeight, &c.LateWeight)
 	switch {
@@ -168,7 +238,7 @@
 	}
 }
 
-// longestObjective returns the longest latency objective of all classes, and 1 at the least.
+// longestObjective returns the longest latency objective of all classes in ms, but at least 1 ms.
 func (c *Config) longestObjective() float64 {
 	longest := 1.0
 	for i := range c.Classes {
--- a/balance/config_test.go
+++ b/balance/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Configurations other than the base one keep the invariants that world checks, and all requests are
+// Configurations other than baseConfig keep the invariants of invariantChecker, and every request is
 // answered.
 func TestAlternativeConfigs(t *testing.T) {
 	for name, change := range map[string]func(cfg *Config, endpointCount *int){
@@ -50,57 +50,57 @@
 		t.Run(name, func(t *testing.T) {
 			cfg, endpointCount := baseConfig(), 6
 			change(&cfg, &endpointCount)
-			w := newWorld(t, rand.New(rand.NewSource(7)), cfg)
-			w.listAll(newEndpoints(endpointCount))
+			c := newInvariantChecker(t, rand.New(rand.NewSource(7)), cfg)
+			c.listAll(newEndpoints(endpointCount))
 			started := 0
 			for id := RequestID(1); id <= 400; id++ {
-				started += w.requestAndCheck(id)
+				started += c.sendRequestAndAnswerChecks(id)
 				if id > 2 {
-					w.serve(id - 2)
+					c.serve(id - 2)
 				}
 			}
-			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
-				w.fireTimers()
+			for c.now += 1000; c.hasOpenRequests() && len(c.timers) > 0; c.now += 1000 {
+				c.fireTimers()
 			}
-			if w.anyOpen() || started < 300 {
+			if c.hasOpenRequests() || started < 300 {
 				t.Fatalf("requests left unanswered: %v, want false; "+
-					"attempts started: %d, want at least 300 for 400 requests", w.anyOpen(), started)
+					"attempts started: %d, want at least 300 for 400 requests", c.hasOpenRequests(), started)
 			}
 		})
 	}
 }
 
-// listAll hands the balancer a snapshot of ready endpoints.
-func (w *world) listAll(endpoints []Endpoint) {
-	w.t.Helper()
+// listAll passes a snapshot of ready endpoints to the balancer.
+func (c *invariantChecker) listAll(endpoints []Endpoint) {
+	c.t.Helper()
 	for i := range endpoints {
-		w.endpoints[endpoints[i].ID] = &endpoints[i]
-		w.usable[endpoints[i].ID] = true
+		c.endpoints[endpoints[i].ID] = &endpoints[i]
+		c.usable[endpoints[i].ID] = true
 	}
-	w.handle(EndpointUpdate{Kind: Snapshot, Endpoints: endpoints})
+	c.handle(EndpointUpdate{Kind: Snapshot, Endpoints: endpoints})
 }
 
-// requestAndCheck advances the clock, sends one request, answers all pending health checks and returns how
-// many attempts were started for the request.
-func (w *world) requestAndCheck(id RequestID) int {
-	w.t.Helper()
-	w.now += 9
-	w.fireTimers()
-	class := int(id) % len(w.cfg.Classes)
-	w.open[id] = &openRequest{class: class, deadline: w.now + 300}
-	w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Timeout: 300})
-	for len(w.pendingChecks) > 0 {
-		checked := w.pendingChecks[0]
-		w.pendingChecks = w.pendingChecks[1:]
-		w.handle(HealthCheckResult{Endpoint: checked, LoadReport: []float32{1}})
+// sendRequestAndAnswerChecks advances the clock, sends one request, answers all pending health checks and
+// returns the number of attempts that were started for the request.
+func (c *invariantChecker) sendRequestAndAnswerChecks(id RequestID) int {
+	c.t.Helper()
+	c.now += 9
+	c.fireTimers()
+	class := int(id) % len(c.cfg.Classes)
+	c.open[id] = &openRequest{class: class, deadline: c.now + 300}
+	c.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Timeout: 300})
+	for len(c.pendingChecks) > 0 {
+		checked := c.pendingChecks[0]
+		c.pendingChecks = c.pendingChecks[1:]
+		c.handle(HealthCheckResult{Endpoint: checked, LoadReport: []float32{1}})
 	}
-	return len(w.open[id].attempts)
+	return len(c.open[id].attempts)
 }
 
-// serve ends the attempts that are in flight for a request with success.
-func (w *world) serve(id RequestID) {
-	w.t.Helper()
-	r := w.open[id]
+// serve ends all attempts in flight of a request with success.
+func (c *invariantChecker) serve(id RequestID) {
+	c.t.Helper()
+	r := c.open[id]
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if !a.inFlight {
@@ -108,11 +108,11 @@
 		}
 		a.inFlight = false
 		r.answered = true
-		w.handle(AttemptResult{
+		c.handle(AttemptResult{
 			Request:       id,
 			Attempt:       i,
 			Endpoint:      a.endpoint.ID,
-			Latency:       w.now - a.sentAt,
+			Latency:       c.now - a.sentAt,
 			RequestClosed: true,
 		})
 	}
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -1,24 +1,26 @@
-// The behaviours for which the design paper requires tests. Exact values of the floor, of recovery with time
-// and of the retry at the healthiest endpoint are tested in weight_test.go and retry_test.go as well.
+// Tests of the behavior for which the design paper requires tests. weight_test.go and retry_test.go also test
+// the exact values of the health multiplier's floor, its recovery with time, and the choice of the healthiest
+// endpoint for a retry.
 
 package balance
 
 import "testing"
 
-// trafficShares counts how many requests each of four endpoints gets while endpoint 1 has the given number of
-// consecutive errors.
+// trafficShares returns the number of requests that each of four endpoints gets while endpoint 1 has the
+// given number of consecutive errors.
 func trafficShares(t *testing.T, consecutiveErrors float64, requests int) map[EndpointID]int {
 	t.Helper()
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	hits := map[EndpointID]int{}
 	for range requests {
 		outlier := &h.b.endpoints[0].outlier
-		outlier.consecutiveErrors, outlier.lastErrorAt = consecutiveErrors, h.now // a success resets them
+		outlier.consecutiveErrors, outlier.lastErrorAt = consecutiveErrors, h.now // a success resets errors
 		hits[sequence(h, 1)[0]]++
 	}
 	return hits
 }
 
+// Endpoints without errors get equal shares of the requests.
 func TestPaperFairBaseline(t *testing.T) {
 	for id, n := range trafficShares(t, 0, 40) {
 		if n != 10 {
@@ -27,16 +29,18 @@
 	}
 }
 
+// The share of an endpoint falls with its consecutive errors, but never to zero.
 func TestPaperPenaltyReducesShareAndTheFloorHolds(t *testing.T) {
 	none := trafficShares(t, 0, 400)[1]
 	some := trafficShares(t, 2, 400)[1]
 	many := trafficShares(t, 1000, 400)[1]
 	if !(none > some && some > many && many > 0) {
-		t.Fatalf("with none, two and very many errors the endpoint got %d, %d, %d of 400 requests; "+
+		t.Fatalf("with 0, 2 and 1000 consecutive errors the endpoint got %d, %d, %d of 400 requests; "+
 			"want falling counts above 0", none, some, many)
 	}
 }
 
+// The health multiplier rises with time after an error.
 func TestPaperTimeRecovery(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	e := h.b.endpoints[0]
@@ -52,6 +56,7 @@
 	}
 }
 
+// A retry is sent to the healthiest endpoint, even if another one is next in the rotation.
 func TestPaperRetryRecoversToBest(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	unhealthy := h.b.endpoints[1]
@@ -63,6 +68,8 @@
 	}
 }
 
+// Errors of one endpoint do not affect the health of other endpoints, even in the same cell or of the same
+// machine type.
 func TestPaperIsolation(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for range 5 {
@@ -70,7 +77,7 @@
 	}
 	for _, e := range h.b.endpoints[1:] {
 		if e.outlier.healthMultiplier(h.b.now) != 1 || e.outlier.ejected(h.b.now) {
-			t.Errorf("errors of endpoint 1 count against endpoint %d, of its cell and machine type", e.ID)
+			t.Errorf("errors of endpoint 1 affected the health of endpoint %d", e.ID)
 		}
 	}
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,17 +1,19 @@
-// Package balance decides, for one sidecar, which endpoint gets a request, when the request is retried and
-// when it is rejected.
+// Package balance makes the decisions of one sidecar: which endpoint each request is sent to, when a request
+// is retried and when it is rejected.
 //
-// It is a state machine: a [Balancer] takes an [Event] and the present time, and returns the [Action] list
-// that the caller has to carry out. It does no I/O, reads no clock and draws its random numbers from the seed
-// in [Config], so equal events give equal actions. All times are float64 milliseconds: instants on the
-// caller's clock, or durations.
+// The package is a state machine. A [Balancer] takes an [Event] and the current time, and returns the list of
+// [Action] values that the caller has to carry out. It does no I/O, reads no clock and draws its random
+// numbers from the seed in [Config], so the same events always give the same actions. All times are float64
+// milliseconds: either instants on the caller's clock or durations.
 //
-// Endpoints are picked by health-weighted round robin: a health multiplier falls with an endpoint's
-// consecutive errors and recovers with time, and smooth weighted round robin runs over capacity times
-// multiplier. A failed idempotent request is retried at the untried endpoint of the best health.
+// Endpoints are picked by smooth weighted round robin. The weight of an endpoint is its capacity times a
+// health multiplier, which falls with the endpoint's consecutive errors and recovers with time. A failed
+// idempotent request is retried at the endpoint with the best health among those that the request has not
+// tried.
 //
-// What the caller owes: one clock for all events that never goes back; events in the order in which they
-// happened, from one goroutine at a time; the actions of each call carried out in their order before the next
-// event is handed in; each timer brought back once when it is due; one AttemptResult for each StartAttempt.
-// Slices in events are not kept, and returned actions are valid until the next call.
+// The caller must meet these conditions: all events carry times of one clock, which never goes back; events
+// are passed in the order in which they happened, from one goroutine at a time; the actions of a call are
+// carried out in order before the next event is passed; each timer is reported once, when it is due; each
+// StartAttempt is followed by one AttemptResult. The balancer does not keep slices from events, and returned
+// actions are valid until the next call.
 package balance
--- a/balance/event.go
+++ b/balance/event.go
@@ -1,89 +1,119 @@
 package balance
 
-// EndpointID identifies an endpoint; it carries no other meaning.
+// EndpointID identifies an endpoint. Its value has no further meaning to the balancer.
 type EndpointID uint64
 
-// RequestID identifies a request; a client's retry is a request of its own.
+// RequestID identifies a request of a client. When a client retries, its retry is a new request with its own
+// ID.
 type RequestID uint64
 
-// Lifecycle is what discovery knows of an endpoint's process.
+// Lifecycle is the state of an endpoint's process as discovery reports it.
 type Lifecycle uint8
 
 // The lifecycle states of an endpoint.
 const (
-	Ready Lifecycle = iota
-	Draining
-	Removed
+	Ready    Lifecycle = iota // the endpoint accepts requests
+	Draining                  // the endpoint finishes the requests it has and must get no new ones
+	Removed                   // the endpoint has left the endpoint list and must get no requests
 )
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is one entry of the endpoint list, which discovery provides.
 type Endpoint struct {
-	ID              EndpointID
-	Lifecycle       Lifecycle
-	StartedAt       float64 // 0: long ago
-	NominalCapacity float64 // relative to other endpoints; 1 where nothing is known
-	Cell            int
-	Zone            int
-	MachineType     int
+	// ID identifies the endpoint and is the same at every sidecar.
+	ID EndpointID
+	// Lifecycle is the state of the endpoint; only a Ready endpoint gets requests.
+	Lifecycle Lifecycle
+	// StartedAt is the instant, in ms, at which the endpoint's process started, or 0 if it started long ago.
+	// If it is later than in an earlier entry of the endpoint, the process has restarted.
+	StartedAt float64
+	// NominalCapacity is the capacity of the endpoint relative to other endpoints, or 1 if it is not known.
+	// An invalid value counts as 1.
+	NominalCapacity float64
+	// Cell is the number of the cell that the endpoint belongs to; see DedupCell.
+	Cell int
+	// Zone is the number of the zone that the endpoint runs in.
+	Zone int
+	// MachineType is the number of the machine type that the endpoint runs on.
+	MachineType int
 }
 
-// Event is anything that the caller tells a Balancer: one of the types below.
+// Event is anything that the caller reports to a Balancer. The event types of this package implement it.
 type Event interface{ event() }
 
-// UpdateKind says how an EndpointUpdate is to be read.
+// UpdateKind tells what an EndpointUpdate contains.
 type UpdateKind uint8
 
-// The kinds of updates from discovery.
+// The kinds of endpoint updates.
 const (
-	Snapshot       UpdateKind = iota // the whole list
-	CachedSnapshot                   // the whole list, as it was when last seen
-	Delta                            // changed entries only
-	WatchFailed                      // a call failed, or the watch ended; there are no entries
-	WatchStalled                     // the watch was silent for too long; there are no entries
-	SourceChanged                    // discovery has another address now; there are no entries
+	// Snapshot is the kind of an update with the whole endpoint list. Endpoints that it lacks are removed.
+	Snapshot UpdateKind = iota
+	// CachedSnapshot is the kind of an update with the whole endpoint list from an earlier time, for example
+	// from a cache.
+	CachedSnapshot
+	// Delta is the kind of an update that contains only the entries that have changed.
+	Delta
+	// WatchFailed is the kind of an update without entries: a call to discovery failed, or the watch ended.
+	WatchFailed
+	// WatchStalled is the kind of an update without entries: the watch brought no message for too long.
+	WatchStalled
+	// SourceChanged is the kind of an update without entries: discovery now has another address.
+	SourceChanged
 )
 
-// EndpointUpdate brings the endpoint list or a part of it, or the end of a watch. Endpoints is not kept.
+// EndpointUpdate reports the endpoint list, a part of it, or a problem with the watch that provides it.
 type EndpointUpdate struct {
-	Kind      UpdateKind
+	// Kind tells what the update contains.
+	Kind UpdateKind
+	// Endpoints holds the entries of the endpoint list that the update brings. The balancer does not keep the
+	// slice.
 	Endpoints []Endpoint
 }
 
-// Request is a client's request, which is owed one final response.
+// Request reports that a client's request has arrived. Each request must get exactly one final response.
 type Request struct {
-	ID          RequestID
-	Class       int     // position in Config.Classes
-	Tenant      int     // position in Config.Tenants; any other value: none
-	WorkHint    float64 // expected work, 0 if unknown
+	// ID identifies the request. A request with an ID that is in use is refused with ErrDuplicateRequest.
+	ID RequestID
+	// Class is the index of the request's class in Config.Classes.
+	Class int
+	// Tenant is the index of the request's tenant in Config.Tenants. Any other value means no tenant.
+	Tenant int
+	// WorkHint is the expected work of the request in ms, or 0 if it is not known.
+	WorkHint float64
+	// AffinityKey is a hash of the object that the request concerns, or 0 if it names none.
 	AffinityKey uint64
-	Timeout     float64 // how long the client will wait
-	IsRetry     bool    // the client says that it tried before
-	Mutates     bool
+	// Timeout is the time in ms, from now, for which the client waits for the response.
+	Timeout float64
+	// IsRetry is set if the client marked the request as a retry; see Config.ClientsMarkRetries.
+	IsRetry bool
+	// Mutates is set if the request changes data at the endpoint.
+	Mutates bool
 }
 
-// Result is how an attempt or a health check ended.
+// Result is the outcome of an attempt or of a health check.
 type Result uint8
 
-// The results; see Result.NotExecuted for what they prove.
+// The results of attempts and health checks. Result.NotExecuted tells which of them prove that an attempt did
+// not run.
 const (
-	OK            Result = iota
-	ServerError          // the endpoint answered with an error
-	Rejected             // the endpoint turned the attempt away before it ran
-	TimedOut             // no response in time
-	ConnectFailed        // no connection, or it broke before the request was written
-	Reset                // the connection broke after the request was written
-	Canceled             // the attempt was given up
-	NotSent              // the attempt never left
+	OK            Result = iota // the endpoint served the request
+	ServerError                 // the endpoint answered with an error
+	Rejected                    // the endpoint rejected the attempt before running it
+	TimedOut                    // no response came in time
+	ConnectFailed               // no connection was made, or it broke before the request was written
+	Reset                       // the connection broke after the request was written
+	Canceled                    // the sidecar canceled the attempt
+	NotSent                     // the sidecar never sent the attempt
 )
 
-// ResultCount is the number of results, for tables by Result.
+// ResultCount is the number of Result values. It is the size of an array that is indexed by Result.
 const ResultCount = int(NotSent) + 1
 
+// resultNames holds the name of each result as it appears in logs, indexed by Result.
 var resultNames = [ResultCount]string{
 	"ok", "server_error", "rejected", "timed_out", "connect_failed", "reset", "canceled", "not_sent",
 }
 
-// String returns the result's name in logs.
+// String returns the name of the result as it appears in logs.
 func (r Result) String() string {
 	if int(r) < len(resultNames) {
 		return resultNames[r]
@@ -91,49 +121,70 @@
 	return "unknown"
 }
 
-// NotExecuted reports whether the result proves that the attempt did not run.
+// NotExecuted reports whether the result proves that the endpoint did not run the attempt.
 func (r Result) NotExecuted() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// AttemptResult is the end of an attempt; each attempt has one.
+// AttemptResult reports the end of an attempt. Each attempt ends with exactly one AttemptResult.
 type AttemptResult struct {
-	Request       RequestID
-	Attempt       int
-	Endpoint      EndpointID
-	Result        Result
-	Latency       float64
-	RequestClosed bool      // the request needs no response any more
-	LoadReport    []float32 // values in the order of Config.ReportFields; empty if none; not kept
+	// Request is the ID of the request that the attempt belongs to.
+	Request RequestID
+	// Attempt is the number of the attempt within its request, from 0.
+	Attempt int
+	// Endpoint is the endpoint that the attempt was sent to.
+	Endpoint EndpointID
+	// Result is the outcome of the attempt.
+	Result Result
+	// Latency is the time in ms from the start of the attempt to its end.
+	Latency float64
+	// RequestClosed is set if the request needs no response any more: it was answered, or its client has
+	// gone.
+	RequestClosed bool
+	// LoadReport holds the values of the endpoint's load report in the order of Config.ReportFields, and is
+	// empty if there was none. The balancer does not keep the slice.
+	LoadReport []float32
 }
 
-// ResponseStarted says that a streamed response has begun to reach the client.
+// ResponseStarted reports that the first part of a streamed response has been passed on to the client.
 type ResponseStarted struct {
-	Request  RequestID
-	Attempt  int
+	// Request is the ID of the request whose response is streamed.
+	Request RequestID
+	// Attempt is the number, within its request, of the attempt that the response comes from.
+	Attempt int
+	// Endpoint is the endpoint that sends the response.
 	Endpoint EndpointID
-	Latency  float64
+	// Latency is the time in ms from the start of the attempt to the start of the response.
+	Latency float64
 }
 
-// ClientCanceled says that the client has gone; no response is owed.
+// ClientCanceled reports that the client of Request has gone, so that the request needs no response.
 type ClientCanceled struct{ Request RequestID }
 
-// Shutdown says that the process ends: all requests, also those to come, must be answered within Timeout.
+// Shutdown reports that the process ends Timeout ms from now. All requests must be answered by that time,
+// including requests that arrive after this event.
 type Shutdown struct{ Timeout float64 }
 
-// Timer says that a timer set by SetTimer has come due.
+// Timer reports that a timer is due. Token is the token of the SetTimer action that set the timer.
 type Timer struct{ Token uint64 }
 
-// HealthCheckResult is the end of a health check.
+// HealthCheckResult reports the end of a health check.
 type HealthCheckResult struct {
-	Endpoint   EndpointID
-	Result     Result
-	Latency    float64
-	LoadReport []float32 // as in AttemptResult
+	// Endpoint is the endpoint that was checked.
+	Endpoint EndpointID
+	// Result is the outcome of the health check.
+	Result Result
+	// Latency is the time in ms from the start of the health check to its end.
+	Latency float64
+	// LoadReport holds the values of the endpoint's load report in the order of Config.ReportFields, and is
+	// empty if there was none. The balancer does not keep the slice.
+	LoadReport []float32
 }
 
-// GossipMessage is a message from another sidecar. Data is not kept.
+// GossipMessage reports a message from another sidecar.
 type GossipMessage struct {
-	Sender int // the sidecar's peer index
-	Data   []byte
+	// Sender is the peer index of the sidecar that sent the message.
+	Sender int
+	// Data is the encoded message. The balancer does not keep the slice.
+	Data []byte
 }
 
 func (EndpointUpdate) event()    {}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,7 +6,7 @@
 	"pebblelift/balance"
 )
 
-// A sidecar hands events to its balancer and carries out the actions that come back.
+// A sidecar passes events to its balancer and carries out the actions that the balancer returns.
 func Example() {
 	b := balance.New(balance.Config{
 		Seed:        1,
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -2,24 +2,25 @@
 
 import "testing"
 
-// harness drives one balancer through a script of events and records the actions that it returns.
+// harness passes events to one balancer and records the actions that the balancer returns.
 type harness struct {
 	t       *testing.T
 	b       *Balancer
-	now     float64
+	now     float64  // current time, ms
 	actions []Action // all actions since the start
 	lastID  RequestID
 }
 
-// The classes of baseConfig, by their position in Config.Classes.
+// The classes of baseConfig: each constant is an index of Config.Classes.
 const (
-	idempotentClass = iota
-	nonIdempotentClass
-	cellKeyClass   // idempotency key, recognized within a cell
-	globalKeyClass // idempotency key, recognized by all endpoints
-	zoneKeyClass   // idempotency key, recognized within a zone
+	idempotentClass    = iota // requests may run any number of times
+	nonIdempotentClass        // requests must not run twice
+	cellKeyClass              // requests have an idempotency key that endpoints of one cell recognize
+	globalKeyClass            // requests have an idempotency key that all endpoints recognize
+	zoneKeyClass              // requests have an idempotency key that endpoints of one zone recognize
 )
 
+// baseConfig returns the settings that most tests use or modify.
 func baseConfig() Config {
 	keyClass := Class{
 		Idempotency:      IdempotentWithKey,
@@ -58,7 +59,7 @@
 	}
 }
 
-// newHarness starts a balancer at 1000 ms and hands it the given endpoints as a cached snapshot.
+// newHarness starts a balancer at 1000 ms and passes the given endpoints to it as a cached snapshot.
 func newHarness(t *testing.T, cfg Config, endpoints ...Endpoint) *harness {
 	t.Helper()
 	h := &harness{t: t, b: New(cfg), now: 1000}
@@ -70,7 +71,8 @@
 	return h
 }
 
-// newEndpoints returns n equal endpoints with IDs from 1, two to a cell and four to a zone.
+// newEndpoints returns n endpoints of equal capacity with IDs from 1. Each cell has two and each zone has
+// four.
 func newEndpoints(n int) []Endpoint {
 	endpoints := make([]Endpoint, n)
 	for i := range endpoints {
@@ -91,7 +93,8 @@
 	return actions
 }
 
-// request sends a new request with its class's whole deadline and returns its ID and the immediate actions.
+// request sends a new request, whose timeout is the deadline of its class, and returns the request's ID and
+// the resulting actions.
 func (h *harness) request(class int) (RequestID, []Action) {
 	h.t.Helper()
 	h.lastID++
@@ -113,7 +116,7 @@
 	})
 }
 
-// attemptTarget returns the endpoint of the first attempt that the actions start, if there is one.
+// attemptTarget returns the endpoint of the first StartAttempt action, and whether there is one.
 func attemptTarget(actions []Action) (EndpointID, bool) {
 	for _, a := range actions {
 		if a.Kind == StartAttempt {
@@ -123,6 +126,7 @@
 	return 0, false
 }
 
+// hasAction reports whether there is an action of the given kind.
 func hasAction(actions []Action, kind ActionKind) bool {
 	for _, a := range actions {
 		if a.Kind == kind {
@@ -132,7 +136,7 @@
 	return false
 }
 
-// dueTimers returns the timers of open requests that are due.
+// dueTimers returns the due timers of open requests.
 func (h *harness) dueTimers() []Timer {
 	var timers []Timer
 	for id := RequestID(1); id <= h.lastID; id++ {
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// An impossible event gives an error that says what is wrong, and leaves the balancer unchanged.
+// An invalid event results in an error that names the fault, and leaves the balancer unchanged.
 func TestHandleRejectsInvalidEvents(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	id, _ := h.request(idempotentClass)
 	before, requestBefore := *h.b, *h.b.requests[id]
 	for _, c := range []struct {
 		event     Event
-		wantError string // a part of it
+		wantError string // substring of the error text
 	}{
 		{event: Request{ID: 50, Class: 99}, wantError: "unknown class 99"},
 		{event: Request{ID: 50, Class: -1}, wantError: "unknown class -1"},
@@ -36,7 +36,7 @@
 	}
 }
 
-// Late or foreign events about unknown requests, endpoints and peers are ignored.
+// Events about unknown requests, endpoints and peers, which may be late or meant for others, are ignored.
 func TestHandleIgnoresUnknownIDs(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	for _, event := range []Event{
@@ -60,8 +60,8 @@
 	}
 }
 
-// Numbers that are negative or not finite, in settings, endpoint lists, load reports and times, reach no
-// weight and no timer.
+// Guards against invalid weights and timer delays that come from negative or non-finite numbers in settings,
+// endpoint lists, load reports and times.
 func TestNonFiniteInputsAreContained(t *testing.T) {
 	for _, invalid := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
 		cfg := configWith(invalid)
@@ -88,7 +88,7 @@
 			h.now += 10
 		}
 		if _, err := h.b.Handle(invalid, Timer{}); err != nil || h.b.now != h.now-10 {
-			t.Fatalf("time %v: the clock went to %v, want %v; error %v, want none",
+			t.Fatalf("event at time %v: balancer's time is %v, want %v; error %v, want none",
 				invalid, h.b.now, h.now-10, err)
 		}
 		for _, e := range h.b.endpoints {
@@ -101,7 +101,7 @@
 	}
 }
 
-// configWith returns settings that hold one value in many places.
+// configWith returns settings in which many numbers have the given value.
 func configWith(value float64) Config {
 	cfg := healthCheckConfig()
 	cfg.BatchInterval = value
@@ -125,7 +125,7 @@
 	return cfg
 }
 
-// Whatever the endpoint list, each request gets one final response in time.
+// Each request gets one final response in time, even if the endpoint list is empty or nothing is ready.
 func TestEveryRequestIsAnsweredForAnyEndpointList(t *testing.T) {
 	draining := newEndpoints(3)
 	for i := range draining {
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// world feeds one balancer random but possible events and checks each action:
-//   - attempts go to ready, listed endpoints only, and no more of them than the settings allow;
-//   - a request runs at most as often as its idempotency allows;
-//   - each request gets one final response, in time, and is rejected only where a client's retry is safe.
-type world struct {
+// invariantChecker passes random valid events to one balancer and checks each action for these invariants:
+//   - attempts are sent only to listed endpoints that are ready, and no more of them than the settings allow;
+//   - a request does not run more often than its idempotency allows;
+//   - each request gets one final response in time, and is rejected only if a client's retry is safe.
+type invariantChecker struct {
 	t             *testing.T
 	random        *rand.Rand
 	b             *Balancer
 	cfg           Config
 	now           float64
 	endpoints     map[EndpointID]*Endpoint
-	usable        map[EndpointID]bool // listed and ready
+	usable        map[EndpointID]bool // endpoints that are listed and ready
 	open          map[RequestID]*openRequest
 	timers        []pendingTimer
 	pendingChecks []EndpointID
@@ -41,9 +41,9 @@
 	token uint64
 }
 
-func newWorld(t *testing.T, random *rand.Rand, cfg Config) *world {
+func newInvariantChecker(t *testing.T, random *rand.Rand, cfg Config) *invariantChecker {
 	t.Helper()
-	w := &world{
+	c := &invariantChecker{
 		t:         t,
 		random:    random,
 		b:         New(cfg),
@@ -53,11 +53,11 @@
 		usable:    map[EndpointID]bool{},
 		open:      map[RequestID]*openRequest{},
 	}
-	w.apply(w.b.Start(w.now))
-	return w
+	c.apply(c.b.Start(c.now))
+	return c
 }
 
-// Random sequences of events keep the invariants that world checks, and all requests are answered.
+// Random sequences of events keep the invariants of invariantChecker, and every request is answered.
 func TestRandomEventsPreserveInvariants(t *testing.T) {
 	for seed := range int64(40) {
 		random := rand.New(rand.NewSource(seed))
@@ -72,90 +72,90 @@
 			cfg.ReportSource = ReportHealthCheck
 			cfg.ReportFields = []ReportField{FieldInFlight, FieldQueue, FieldUtil}
 		}
-		w := newWorld(t, random, cfg)
-		w.updateEndpoints(CachedSnapshot)
+		c := newInvariantChecker(t, random, cfg)
+		c.updateEndpoints(CachedSnapshot)
 		for id := RequestID(1); id <= 1500; id++ {
-			w.now += random.ExpFloat64() * 8
-			w.fireTimers()
-			w.randomEvent(id)
+			c.now += random.ExpFloat64() * 8
+			c.fireTimers()
+			c.randomEvent(id)
 		}
-		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
-			w.fireTimers()
+		for c.now += 10; len(c.timers) > 0 && c.hasOpenRequests(); c.now += 10 {
+			c.fireTimers()
 		}
-		if w.anyOpen() {
+		if c.hasOpenRequests() {
 			t.Fatalf("seed %d: a request was never answered", seed)
 		}
 	}
 }
 
-// randomEvent generates one event; id is that of a new request if it is an arrival.
-func (w *world) randomEvent(id RequestID) {
-	w.t.Helper()
-	switch n := w.random.Intn(20); {
+// randomEvent generates one event. If the event is a new request, the request has the given ID.
+func (c *invariantChecker) randomEvent(id RequestID) {
+	c.t.Helper()
+	switch n := c.random.Intn(20); {
 	case n < 9:
-		w.sendRequest(id)
+		c.sendRequest(id)
 	case n < 17:
-		w.finishRandomAttempt(id)
+		c.finishRandomAttempt(id)
 	case n < 18:
-		w.updateEndpoints([]UpdateKind{Snapshot, Delta, CachedSnapshot}[w.random.Intn(3)])
+		c.updateEndpoints([]UpdateKind{Snapshot, Delta, CachedSnapshot}[c.random.Intn(3)])
 	case n < 19:
-		w.answerHealthCheck()
+		c.answerHealthCheck()
 	default:
-		canceled := id - RequestID(w.random.Intn(20)) // unknown or ended ones must be ignored
-		if r := w.open[canceled]; r != nil {
+		canceled := id - RequestID(c.random.Intn(20)) // may be unknown or ended, then ignored
+		if r := c.open[canceled]; r != nil {
 			r.answered = true
 		}
-		w.handle(ClientCanceled{Request: canceled})
+		c.handle(ClientCanceled{Request: canceled})
 	}
 }
 
-// sendRequest sends a new request with a random timeout, which sometimes is 0.
-func (w *world) sendRequest(id RequestID) {
-	w.t.Helper()
-	class := w.random.Intn(len(w.cfg.Classes))
-	timeout := w.cfg.Classes[class].Deadline * w.random.Float64()
-	if w.random.Intn(20) == 0 {
+// sendRequest sends a new request with a random timeout, which is sometimes 0.
+func (c *invariantChecker) sendRequest(id RequestID) {
+	c.t.Helper()
+	class := c.random.Intn(len(c.cfg.Classes))
+	timeout := c.cfg.Classes[class].Deadline * c.random.Float64()
+	if c.random.Intn(20) == 0 {
 		timeout = 0
 	}
-	w.open[id] = &openRequest{class: class, deadline: w.now + timeout}
-	w.handle(Request{ID: id, Class: class, Timeout: timeout})
+	c.open[id] = &openRequest{class: class, deadline: c.now + timeout}
+	c.handle(Request{ID: id, Class: class, Timeout: timeout})
 }
 
 // answerHealthCheck ends the oldest pending health check with a random load report.
-func (w *world) answerHealthCheck() {
-	w.t.Helper()
-	if len(w.pendingChecks) == 0 {
+func (c *invariantChecker) answerHealthCheck() {
+	c.t.Helper()
+	if len(c.pendingChecks) == 0 {
 		return
 	}
-	checked := w.pendingChecks[0]
-	w.pendingChecks = w.pendingChecks[1:]
-	report := []float32{float32(w.random.Intn(6)), 0, 0.5}
-	w.handle(HealthCheckResult{Endpoint: checked, Latency: 1, LoadReport: report})
+	checked := c.pendingChecks[0]
+	c.pendingChecks = c.pendingChecks[1:]
+	report := []float32{float32(c.random.Intn(6)), 0, 0.5}
+	c.handle(HealthCheckResult{Endpoint: checked, Latency: 1, LoadReport: report})
 }
 
-// finishRandomAttempt ends one attempt in flight, of one of the last requests, with a random result.
-func (w *world) finishRandomAttempt(lastID RequestID) {
-	w.t.Helper()
+// finishRandomAttempt ends an attempt in flight of one of the last 60 requests with a random result.
+func (c *invariantChecker) finishRandomAttempt(lastID RequestID) {
+	c.t.Helper()
 	results := []Result{OK, OK, OK, OK, ServerError, Rejected, ConnectFailed, Reset, TimedOut}
 	for id := lastID; id > 0 && id+60 > lastID; id-- {
-		r := w.open[id]
+		r := c.open[id]
 		if r == nil {
 			continue
 		}
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			if !a.inFlight || w.random.Intn(3) == 0 {
+			if !a.inFlight || c.random.Intn(3) == 0 {
 				continue
 			}
-			result := results[w.random.Intn(9)]
+			result := results[c.random.Intn(9)]
 			a.inFlight, a.notExecuted = false, result.NotExecuted()
 			r.answered = r.answered || result == OK
-			w.handle(AttemptResult{
+			c.handle(AttemptResult{
 				Request:       id,
 				Attempt:       i,
 				Endpoint:      a.endpoint.ID,
 				Result:        result,
-				Latency:       w.now - a.sentAt,
+				Latency:       c.now - a.sentAt,
 				RequestClosed: r.answered,
 			})
 			return
@@ -163,156 +163,156 @@
 	}
 }
 
-// updateEndpoints changes some endpoints at random and sends a list of the given kind, which leaves out
-// others.
-func (w *world) updateEndpoints(kind UpdateKind) {
-	w.t.Helper()
+// updateEndpoints changes some endpoints at random and sends an update of the given kind, from which other
+// endpoints are missing.
+func (c *invariantChecker) updateEndpoints(kind UpdateKind) {
+	c.t.Helper()
 	var entries []Endpoint
 	for i := range 10 {
 		id := EndpointID(i + 1)
-		e := w.endpoints[id]
-		if e == nil || w.random.Intn(4) == 0 {
-			e = w.randomEndpoint(i)
-			w.endpoints[id] = e
+		e := c.endpoints[id]
+		if e == nil || c.random.Intn(4) == 0 {
+			e = c.randomEndpoint(i)
+			c.endpoints[id] = e
 		}
-		if kind == Delta && w.random.Intn(2) == 0 {
+		if kind == Delta && c.random.Intn(2) == 0 {
 			continue
 		}
-		if kind != Delta && w.random.Intn(8) == 0 {
-			w.usable[id] = false
+		if kind != Delta && c.random.Intn(8) == 0 {
+			c.usable[id] = false
 			continue
 		}
-		w.usable[id] = e.Lifecycle == Ready
+		c.usable[id] = e.Lifecycle == Ready
 		entries = append(entries, *e)
 	}
-	w.handle(EndpointUpdate{Kind: kind, Endpoints: entries})
+	c.handle(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 // randomEndpoint returns an endpoint that is ready or draining and may have just started.
-func (w *world) randomEndpoint(i int) *Endpoint {
+func (c *invariantChecker) randomEndpoint(i int) *Endpoint {
 	e := &Endpoint{
 		ID:              EndpointID(i + 1),
-		Lifecycle:       Lifecycle(w.random.Intn(3) % 2),
+		Lifecycle:       Lifecycle(c.random.Intn(3) % 2),
 		NominalCapacity: 1,
 		Cell:            i % 3,
 		Zone:            i % 2,
 		MachineType:     i % 2,
 	}
-	if w.random.Intn(3) == 0 {
-		e.StartedAt = w.now
+	if c.random.Intn(3) == 0 {
+		e.StartedAt = c.now
 	}
 	return e
 }
 
-func (w *world) handle(event Event) {
-	w.t.Helper()
-	actions, err := w.b.Handle(w.now, event)
+func (c *invariantChecker) handle(event Event) {
+	c.t.Helper()
+	actions, err := c.b.Handle(c.now, event)
 	if err != nil {
-		w.t.Fatalf("%#v: %v", event, err)
+		c.t.Fatalf("%#v: %v", event, err)
 	}
-	w.apply(actions)
+	c.apply(actions)
 }
 
-// apply checks actions and keeps what they ask for.
-func (w *world) apply(actions []Action) {
-	w.t.Helper()
+// apply checks actions and records the timers, health checks, attempts and responses that they ask for.
+func (c *invariantChecker) apply(actions []Action) {
+	c.t.Helper()
 	for _, a := range actions {
 		switch a.Kind {
 		case SetTimer:
-			w.timers = append(w.timers, pendingTimer{at: w.now + a.Delay, token: a.Token})
+			c.timers = append(c.timers, pendingTimer{at: c.now + a.Delay, token: a.Token})
 		case HealthCheck:
-			if !w.cfg.HealthChecks {
-				w.t.Fatal("health check where they are not allowed")
+			if !c.cfg.HealthChecks {
+				c.t.Fatal("health check although the settings do not allow health checks")
 			}
-			w.pendingChecks = append(w.pendingChecks, a.Endpoint)
+			c.pendingChecks = append(c.pendingChecks, a.Endpoint)
 		case StartAttempt:
-			w.startAttempt(a)
+			c.startAttempt(a)
 		case Reject, Fail:
-			w.finishRequest(a)
+			c.finishRequest(a)
 		case CancelAttempt:
-			if !w.cfg.CancelAttempts || a.Attempt >= len(w.open[a.Request].attempts) {
-				w.t.Fatalf("invalid cancellation %+v", a)
+			if !c.cfg.CancelAttempts || a.Attempt >= len(c.open[a.Request].attempts) {
+				c.t.Fatalf("cancellation is not allowed or names an unknown attempt: %+v", a)
 			}
 		}
 	}
 }
 
-// startAttempt checks that an attempt is allowed and records it.
-func (w *world) startAttempt(a Action) {
-	w.t.Helper()
-	r := w.open[a.Request]
+// startAttempt checks that an attempt is allowed and records the attempt.
+func (c *invariantChecker) startAttempt(a Action) {
+	c.t.Helper()
+	r := c.open[a.Request]
 	switch {
 	case r.answered:
-		w.t.Fatalf("request %d: attempt after its final response", a.Request)
-	case !w.usable[a.Endpoint]:
-		w.t.Fatalf("request %d: attempt at endpoint %d, which is draining or removed", a.Request, a.Endpoint)
-	case len(r.attempts) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("request %d: more than %d attempts", a.Request, w.cfg.MaxAttempts)
+		c.t.Fatalf("request %d: attempt after its final response", a.Request)
+	case !c.usable[a.Endpoint]:
+		c.t.Fatalf("request %d: attempt at endpoint %d, which is draining or removed", a.Request, a.Endpoint)
+	case len(r.attempts) >= c.cfg.MaxAttempts:
+		c.t.Fatalf("request %d: more than %d attempts", a.Request, c.cfg.MaxAttempts)
 	}
-	target := *w.endpoints[a.Endpoint]
-	class := w.cfg.Classes[r.class]
+	target := *c.endpoints[a.Endpoint]
+	class := c.cfg.Classes[r.class]
 	for _, earlier := range r.attempts {
-		if earlier.inFlight && !w.cfg.Hedging {
-			w.t.Fatalf("request %d: two attempts in flight without hedging", a.Request)
+		if earlier.inFlight && !c.cfg.Hedging {
+			c.t.Fatalf("request %d: two attempts in flight without hedging", a.Request)
 		}
 		if earlier.notExecuted || class.Idempotency == Idempotent {
 			continue
 		}
 		keyUnknown := class.DedupScope == DedupCell && earlier.endpoint.Cell != target.Cell ||
 			class.DedupScope == DedupZone && earlier.endpoint.Zone != target.Zone
-		keyForgotten := w.now >= earlier.sentAt+class.DedupWindow
-		if class.Idempotency == NonIdempotent || keyUnknown || keyForgotten {
-			w.t.Fatalf("request %d: retried though it may run twice", a.Request)
+		keyExpired := c.now >= earlier.sentAt+class.DedupWindow
+		if class.Idempotency == NonIdempotent || keyUnknown || keyExpired {
+			c.t.Fatalf("request %d: retry could run the request twice", a.Request)
 		}
 	}
-	r.attempts = append(r.attempts, openAttempt{endpoint: target, sentAt: w.now, inFlight: true})
+	r.attempts = append(r.attempts, openAttempt{endpoint: target, sentAt: c.now, inFlight: true})
 }
 
-// finishRequest checks that a final response is allowed and records it.
-func (w *world) finishRequest(a Action) {
-	w.t.Helper()
-	r := w.open[a.Request]
-	if r.answered || w.now > r.deadline+w.cfg.ResponseSlack {
-		w.t.Fatalf("request %d: second or late final response at %v, deadline %v",
-			a.Request, w.now, r.deadline)
+// finishRequest checks that a final response is allowed and records the response.
+func (c *invariantChecker) finishRequest(a Action) {
+	c.t.Helper()
+	r := c.open[a.Request]
+	if r.answered || c.now > r.deadline+c.cfg.ResponseSlack {
+		c.t.Fatalf("request %d: second or late final response at %v, deadline %v",
+			a.Request, c.now, r.deadline)
 	}
 	r.answered = true
-	class := w.cfg.Classes[r.class]
+	class := c.cfg.Classes[r.class]
 	if a.Kind == Fail || class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope == DedupAll {
 		return
 	}
 	for _, earlier := range r.attempts {
 		if !earlier.notExecuted {
-			w.t.Fatalf("request %d: rejected though it may have run", a.Request)
+			c.t.Fatalf("request %d: rejected although it may have run", a.Request)
 		}
 	}
 }
 
-// fireTimers fires the timers that are due, in order and each at its own time.
-func (w *world) fireTimers() {
-	w.t.Helper()
-	end := w.now
+// fireTimers fires the timers that are due, in the order of their times and each at its own time.
+func (c *invariantChecker) fireTimers() {
+	c.t.Helper()
+	end := c.now
 	for {
 		next := -1
-		for i, timer := range w.timers {
-			if timer.at <= end && (next < 0 || timer.at < w.timers[next].at) {
+		for i, timer := range c.timers {
+			if timer.at <= end && (next < 0 || timer.at < c.timers[next].at) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		timer := w.timers[next]
-		w.timers = append(w.timers[:next], w.timers[next+1:]...)
-		w.now = timer.at
-		w.handle(Timer{Token: timer.token})
+		timer := c.timers[next]
+		c.timers = append(c.timers[:next], c.timers[next+1:]...)
+		c.now = timer.at
+		c.handle(Timer{Token: timer.token})
 	}
-	w.now = end
+	c.now = end
 }
 
-func (w *world) anyOpen() bool {
-	for _, r := range w.open {
+func (c *invariantChecker) hasOpenRequests() bool {
+	for _, r := range c.open {
 		if !r.answered {
 			return true
 		}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// What has ended is forgotten: answered requests, removed endpoints and finished waits for health checks.
+// Guards against memory leaks: answered requests, removed endpoints and requests that have waited for health
+// checks are dropped.
 func TestMemoryIsBounded(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(5)...)
 	for i := range 20000 {
@@ -16,7 +17,7 @@
 		if _, ok := attemptTarget(actions); ok {
 			h.finishAttempt(id, 0, OK, 5)
 		}
-		if i%20 == 0 { // a rolling deploy brings new IDs all the time
+		if i%20 == 0 { // a rolling deploy replaces endpoints by ones with new IDs
 			endpoints := newEndpoints(5)
 			for k := range endpoints {
 				endpoints[k].ID = EndpointID(i + k + 1)
@@ -34,8 +35,8 @@
 	}
 }
 
-// BenchmarkRequest shows how the cost of a request grows with the number of endpoints: hardly, as each
-// sidecar uses a subset.
+// BenchmarkRequest measures the cost of a request for several numbers of endpoints. The cost hardly grows,
+// because each sidecar uses a subset of the endpoints.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpointCount := range []int{12, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("%d-endpoints", endpointCount), func(b *testing.B) {
--- a/balance/module_size_test.go
+++ b/balance/module_size_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	maxFileLines   = 300 // that are not blank
-	maxLineColumns = 110 // with tabs of four columns
+	maxFileLines   = 300 // lines of a file that are not blank
+	maxLineColumns = 110 // columns of a line, with tabs of four columns
 )
 
-// On-call engineers read the decisions in their first days: each file has to stay short, and the deploy file
-// has to name all of them.
+// Each file of the package must stay short, as on-call engineers read the package in their first days, and
+// the deploy file must list every file.
 func TestModuleFilesStayShort(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -21,19 +21,20 @@
 	}
 	names, err := filepath.Glob("*.go")
 	if err != nil || len(names) == 0 {
-		t.Fatalf("files %v, %v", names, err)
+		t.Fatalf("got Go files %v and error %v, want at least one file", names, err)
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
 		if !strings.Contains(string(deploy), `"balance/`+name+`"`) {
-			t.Errorf("%s is not among the policy files of the deploy file", name)
+			t.Errorf("%s is not listed among the policy files in deploy/balancer.toml", name)
 		}
 		checkFileSize(t, name)
 	}
 }
 
+// checkFileSize checks the number of lines of a file and their width.
 func checkFileSize(t *testing.T, name string) {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -46,10 +47,10 @@
 			lines++
 		}
 		if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxLineColumns {
-			t.Errorf("%s: line %d is %d columns wide", name, i+1, width)
+			t.Errorf("%s: line %d is %d columns wide, over the limit", name, i+1, width)
 		}
 	}
 	if lines > maxFileLines {
-		t.Errorf("%s: %d lines, at most %d", name, lines, maxFileLines)
+		t.Errorf("%s: %d lines that are not blank, want at most %d", name, lines, maxFileLines)
 	}
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,24 +5,25 @@
 	"math"
 )
 
-// wakesPerObjective is how often in a latency objective a request that waits for an endpoint is looked at.
-const wakesPerObjective = 20
+// picksPerObjective is the number of times per latency objective at which a request that waits for an
+// endpoint tries again to get one.
+const picksPerObjective = 20
 
-// request is a client's request from its arrival until it is answered and its last attempt has ended.
+// request is a client's request from its arrival until it is closed and its last attempt has ended.
 type request struct {
 	Request
 	class       *Class
 	classStats  *classStats
 	tenant      *serviceTally
-	arrivedAt   float64
-	deadline    float64
+	arrivedAt   float64 // instant of arrival, ms
+	deadline    float64 // instant by which the client must be answered, ms
 	attempts    []attempt
-	inFlight    int         // attempts that have not ended
-	closed      bool        // answered, or its client has gone
-	streaming   bool        // its response has begun to reach the client
-	wakeAt      float64     // when its next timer comes
-	checked     []*endpoint // health checked before the first attempt
-	checksUntil float64     // until when it waits for them; 0: it does not
+	inFlight    int         // number of attempts that have not ended
+	closed      bool        // the request was answered, or its client has gone
+	streaming   bool        // the response has begun to reach the client
+	wakeAt      float64     // instant at which the request's next timer is due, ms; +Inf if none is set
+	checked     []*endpoint // endpoints whose health is checked before the first attempt
+	checksUntil float64     // instant up to which the request waits for health checks, ms; 0 if it does not
 }
 
 // handleRequest admits a request and starts its first attempt, or rejects it.
@@ -36,7 +37,7 @@
 	r := b.newRequest(event)
 	b.requests[event.ID] = r
 	admitted := b.admit(r)
-	r.countArrival() // only now: else its own class would look a little worse served
+	r.countArrival() // after admit, so that the request does not make its own class look worse served
 	b.requestRate.add(b.now, 1)
 	b.retryBudget.deposit()
 	if !admitted {
@@ -48,6 +49,7 @@
 	return nil
 }
 
+// newRequest returns the state of a request that has just arrived.
 func (b *Balancer) newRequest(event Request) *request {
 	class := &b.cfg.Classes[event.Class]
 	return &request{
@@ -61,13 +63,14 @@
 	}
 }
 
-// countArrival counts the request in its class and tenant.
+// countArrival counts the request among those of its class and of its tenant.
 func (r *request) countArrival() {
 	r.classStats.requested++
 	r.tenant.requested++
 }
 
-// advance looks at a request afresh: it starts an attempt, answers the request or leaves it to wait.
+// advance takes the next step of a request: it starts an attempt, answers the request, or sets a timer for
+// the next step.
 func (b *Balancer) advance(r *request) {
 	if r.closed || r.streaming {
 		return
@@ -83,9 +86,10 @@
 			b.startAttempt(r, e)
 		}
 	}
-	b.scheduleWake(r)
+	b.scheduleTimer(r)
 }
 
+// countUnserved counts a request that is given up, by whether it had any attempt.
 func (b *Balancer) countUnserved(r *request) {
 	if len(r.attempts) > 0 {
 		b.stats.RetriesExhausted++
@@ -94,7 +98,8 @@
 	}
 }
 
-// finishUnserved answers a request without a response: rejected where a client's retry is safe, else failed.
+// finishUnserved gives a request that no endpoint served its final response: a rejection if a retry by the
+// client is safe, otherwise a failure.
 func (b *Balancer) finishUnserved(r *request) {
 	if b.safeToReject(r) {
 		b.emit(Action{Kind: Reject, Request: r.ID, Delay: b.retryAfter(r)})
@@ -104,7 +109,8 @@
 	b.closeRequest(r)
 }
 
-// closeRequest marks a request as answered and cancels what is still in flight for it.
+// closeRequest marks a request as closed, cancels its attempts in flight, and removes the request if none is
+// in flight.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	b.cancelAttemptsExcept(r, noAttempt)
@@ -113,13 +119,15 @@
 	}
 }
 
+// handleClientCanceled closes the request of a client that has gone.
 func (b *Balancer) handleClientCanceled(event ClientCanceled) {
 	if r := b.requests[event.Request]; r != nil {
 		b.closeRequest(r)
 	}
 }
 
-// handleResponseStarted hands a request over to its client: it has no deadline and no retry any more.
+// handleResponseStarted marks a request as streaming: from now on it has no deadline and is not retried. All
+// its other attempts are canceled.
 func (b *Balancer) handleResponseStarted(event ResponseStarted) {
 	r := b.requests[event.Request]
 	if r == nil || r.closed || r.streaming {
@@ -129,13 +137,14 @@
 	b.cancelAttemptsExcept(r, event.Attempt)
 }
 
-// scheduleWake sets a timer for the next moment at which the request must be looked at.
-func (b *Balancer) scheduleWake(r *request) {
+// scheduleTimer sets a timer for the instant at which the request next needs a decision, unless its timer is
+// due by then already.
+func (b *Balancer) scheduleTimer(r *request) {
 	next := r.deadline
 	if r.checksUntil > b.now {
 		next = math.Min(next, r.checksUntil)
 	} else if r.inFlight == 0 {
-		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyObjective/wakesPerObjective))
+		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyObjective/picksPerObjective))
 	}
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -149,7 +158,8 @@
 	}
 }
 
-// handleRequestTimer does not compare the timer with the clock: it may come a rounding error early.
+// handleRequestTimer takes the next step of a request whose timer is due. It does not compare the instant for
+// which the timer was set with the clock, as rounding errors may make the timer early.
 func (b *Balancer) handleRequestTimer(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.wakeAt = math.Inf(1)
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A request without any time left is rejected on arrival.
+// A request that arrives without time left is rejected on arrival and starts no attempt.
 func TestExpiredRequestIsAnsweredImmediately(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	actions := h.handle(Request{ID: 1, Class: nonIdempotentClass, Timeout: 0})
@@ -11,7 +11,7 @@
 	}
 }
 
-// Without an eligible endpoint a request waits, and is rejected at its deadline.
+// A request without an eligible endpoint waits and is rejected by its deadline.
 func TestNoEligibleEndpoint(t *testing.T) {
 	draining := newEndpoints(3)
 	for i := range draining {
@@ -37,8 +37,8 @@
 	}
 }
 
-// Incident: in overload a timer fired a rounding error early and was not set again, so that the request got
-// no response at its deadline.
+// Guards against a request that gets no response at its deadline: under overload a timer fired early by a
+// rounding error and was not set again.
 func TestEarlyTimerIsRescheduled(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	id, _ := h.request(nonIdempotentClass)
@@ -48,7 +48,8 @@
 	}
 }
 
-// Once a streamed response has begun, the request has no deadline, no retry and no other response.
+// After the start of a streamed response the request has no deadline, is not retried and gets no other
+// response.
 func TestStreamingResponseIsNotInterrupted(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Stream = true
@@ -67,8 +68,8 @@
 	}
 }
 
-// On shutdown all requests get a final response in time, as their class allows: those in flight, those that
-// wait and those still to come.
+// On shutdown every request gets the final response that its class allows, in time: requests in flight,
+// waiting requests and requests that arrive later.
 func TestShutdownAnswersAllRequests(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	idempotent, _ := h.request(idempotentClass)
@@ -81,7 +82,7 @@
 	h.now += 50
 	late, _ := h.request(idempotentClass)
 	if r := h.b.requests[late]; r.deadline != h.now+50 {
-		t.Errorf("a request 50 ms before the end has %v ms, want 50", r.deadline-h.now)
+		t.Errorf("request 50 ms before the process ends: deadline in %v ms, want 50", r.deadline-h.now)
 	}
 	h.now += 50
 	responses := map[RequestID]ActionKind{}
@@ -103,22 +104,22 @@
 	}
 }
 
-// waitingRequest is a request that waits for something.
+// waitingRequest is a test case in which a request waits until a condition is met.
 type waitingRequest struct {
-	tune      func(*Config)
+	configure func(*Config)
 	endpoints []Endpoint
-	prepare   func(*harness)            // makes the request wait
-	resume    func(*harness, RequestID) // would let it go on
-	sent      bool                      // it has an attempt already
+	prepare   func(*harness)            // makes the request wait; may be nil
+	resume    func(*harness, RequestID) // meets the condition that the request waits for
+	sent      bool                      // the request has an attempt in flight while it waits
 }
 
-// A request whose client canceled while it waited is not sent any more: not when its health checks end, when
-// the slow-start budget allows it, when an endpoint is listed, nor when its attempt failed and a retry would
-// be next.
+// Guards against an attempt for a request whose client canceled while the request waited. No attempt is
+// started when the health checks end, when the slow-start budget allows one, when an endpoint is listed, or
+// when the first attempt fails and a retry would follow.
 func TestNoAttemptAfterClientCanceled(t *testing.T) {
 	for name, c := range map[string]waitingRequest{
 		"waits for health checks": {
-			tune: func(cfg *Config) {
+			configure: func(cfg *Config) {
 				cfg.HealthChecks = true
 				cfg.ReportSource = ReportHealthCheck
 				cfg.ReportFields = []ReportField{FieldInFlight}
@@ -157,13 +158,13 @@
 	}
 }
 
-// check plays the wait and its end, and expects a further attempt unless the client cancels.
+// check makes the request wait, ends the wait, and expects a further attempt unless the client canceled.
 func (c waitingRequest) check(t *testing.T, cancel bool) {
 	t.Helper()
 	cfg := baseConfig()
 	cfg.CancelAttempts = false
-	if c.tune != nil {
-		c.tune(&cfg)
+	if c.configure != nil {
+		c.configure(&cfg)
 	}
 	h := newHarness(t, cfg, c.endpoints...)
 	if c.prepare != nil {
@@ -187,8 +188,8 @@
 	}
 }
 
-// Incident: where health checks cost too much to make any, every request was kept as waiting for some, for
-// good.
+// Guards against a memory leak: when health checks were too expensive to send any, every request stayed
+// forever in the list of requests that wait for health checks.
 func TestAnsweredRequestsAreForgotten(t *testing.T) {
 	for _, cost := range []float64{0.0001, 0.05} {
 		cfg := healthCheckConfig()
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -3,24 +3,40 @@
 import "math"
 
 const (
-	maxRetries        = 1   // of a request: more of them multiply a load that is too high already
-	retryBudgetRatio  = 0.2 // retries that each request adds to the budget
-	retryBudgetBurst  = 10  // retries that the budget holds at most
-	overdueDeviations = 4   // mean deviations above its class's mean latency at which an attempt is overdue
-	overdueMinSamples = 5   // responses of a class, under which half of the objective is the bound
-	overduePart       = 0.5 // of the objective, likewise
+	// maxRetries is the largest number of retries of a request. More retries multiply a load that is already
+	// too high.
+	maxRetries = 1
+	// retryBudgetRatio is the number of retries that each arriving request adds to the retry budget.
+	retryBudgetRatio = 0.2
+	// retryBudgetBurst is the largest number of retries that the retry budget can hold.
+	retryBudgetBurst = 10
+	// overdueDeviations is the number of mean deviations above the mean latency of its class after which an
+	// attempt is overdue.
+	overdueDeviations = 4
+	// overdueMinSamples is the number of responses of a class below which overdueFraction decides when an
+	// attempt is overdue.
+	overdueMinSamples = 5
+	// overdueFraction is the fraction of the latency objective after which an attempt is overdue while its
+	// class has too few responses for a mean latency.
+	overdueFraction = 0.5
 )
 
-// retryBudget is a token bucket for retries, filled by requests: a slow fleet is not made slower by retries.
+// retryBudget is a token bucket that limits retries to a fraction of the requests, so that retries do not
+// overload a slow fleet further. The value of tokens is the number of retries that are left.
 type retryBudget struct{ tokens float64 }
 
+// deposit adds the tokens of one arriving request.
 func (t *retryBudget) deposit() { t.tokens = math.Min(t.tokens+retryBudgetRatio, retryBudgetBurst) }
 
+// withdraw takes the token of one retry.
 func (t *retryBudget) withdraw() { t.tokens-- }
 
+// exhausted reports whether less than one retry is left.
 func (t *retryBudget) exhausted() bool { return t.tokens < 1 }
 
-// retryExhausted reports whether no further attempt may be made for the request, or none is of use.
+// retryExhausted reports whether the request may have no further attempt, or a further one would be of no
+// use. An attempt after the latency objective is of no use if the request can safely be rejected and its
+// remaining value is at most the fraction of the load that is shed.
 func (b *Balancer) retryExhausted(r *request) bool {
 	made := len(r.attempts)
 	if made >= b.cfg.MaxAttempts || made > maxRetries {
@@ -36,22 +52,24 @@
 	return late && b.safeToReject(r) && r.class.LateWeight <= b.shedder.baseFraction
 }
 
-// executionForbidsRetry reports whether an attempt that may have run rules another one out.
+// executionForbidsRetry reports whether the request must not be retried because an attempt may have run and
+// the retry could run the request twice.
 func (r *request) executionForbidsRetry(now float64) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.notExecuted {
 			continue
 		}
-		if r.class.Idempotency == NonIdempotent || r.keyForgotten(a, now) {
+		if r.class.Idempotency == NonIdempotent || r.keyExpired(a, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// keyForgotten reports whether the request's idempotency key may be forgotten since an attempt.
-func (r *request) keyForgotten(a *attempt, now float64) bool {
+// keyExpired reports whether endpoints may have forgotten the request's idempotency key, as the deduplication
+// window has passed since the attempt.
+func (r *request) keyExpired(a *attempt, now float64) bool {
 	return r.class.Idempotency == IdempotentWithKey && now >= a.sentAt+r.class.DedupWindow
 }
 
@@ -65,7 +83,8 @@
 	return false
 }
 
-// safeToReject reports whether a client may repeat the request at will, as one that was rejected does.
+// safeToReject reports whether the request may be rejected: the client may repeat a rejected request, so the
+// repetition must not make the request run twice.
 func (b *Balancer) safeToReject(r *request) bool {
 	switch {
 	case r.class.Idempotency == Idempotent:
@@ -77,7 +96,8 @@
 	}
 }
 
-// eligible reports whether the rules let the request go to the endpoint now.
+// eligible reports whether the request may be sent to the endpoint now: the endpoint is ready and untried by
+// the request, and recognizes the idempotency key of each earlier attempt that may have run.
 func (b *Balancer) eligible(r *request, e *endpoint) bool {
 	if e.Lifecycle != Ready {
 		return false
@@ -90,15 +110,15 @@
 		if a.notExecuted || r.class.Idempotency != IdempotentWithKey {
 			continue
 		}
-		if r.keyForgotten(a, b.now) || !r.class.DedupScope.shared(a.endpoint, e) {
+		if r.keyExpired(a, b.now) || !r.class.DedupScope.covers(a.endpoint, e) {
 			return false
 		}
 	}
 	return true
 }
 
-// shared reports whether one endpoint recognizes a key that the other has seen.
-func (s DedupScope) shared(first, second *endpoint) bool {
+// covers reports whether either endpoint recognizes an idempotency key that the other has received.
+func (s DedupScope) covers(first, second *endpoint) bool {
 	switch s {
 	case DedupCell:
 		return first.Cell == second.Cell
@@ -109,8 +129,9 @@
 	}
 }
 
-// markOverdue counts an attempt far slower than its class as an error: of a hung endpoint it would show too
-// late. The attempt is canceled where that is of use.
+// markOverdue counts each attempt that is much slower than its class as an error of its endpoint, as a hung
+// endpoint would otherwise cause no error until the timeout. An overdue attempt is canceled if another
+// endpoint can still serve the request in time.
 func (b *Balancer) markOverdue(r *request) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -125,8 +146,9 @@
 	}
 }
 
-// shouldReplaceOverdue reports whether an overdue attempt is better given up: the request may run again and
-// can still be in time elsewhere. Not while load is shed, as endpoints go on with what was given up.
+// shouldReplaceOverdue reports whether an overdue attempt should be canceled, so that the request is retried:
+// the request may run again and another endpoint can still serve it in time. No attempt is replaced while
+// load is shed, because endpoints continue to work on canceled attempts.
 func (b *Balancer) shouldReplaceOverdue(r *request) bool {
 	if !b.cfg.CancelAttempts || r.class.Idempotency != Idempotent || r.inFlight != 1 {
 		return false
@@ -145,11 +167,11 @@
 	return false
 }
 
-// overdueAfter goes by what responses of the class take now: under congestion all are late, by no endpoint's
-// fault.
+// overdueAfter returns the time in ms after which an attempt of the request is overdue. The time follows the
+// current latencies of the class, because in congestion all responses are late and no endpoint is at fault.
 func (r *request) overdueAfter() float64 {
 	if r.classStats.samples < overdueMinSamples {
-		return overduePart * r.class.LatencyObjective
+		return overdueFraction * r.class.LatencyObjective
 	}
 	return r.classStats.meanLatency + overdueDeviations*r.classStats.meanDeviation
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A retry goes to the untried endpoint of the best health, whatever the rotation.
+// A retry is sent to the endpoint with the best health among the untried ones, regardless of the rotation.
 func TestRetryPicksHealthiestUntriedEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for _, e := range h.b.endpoints {
@@ -17,14 +17,14 @@
 	if target, _ := attemptTarget(actions); target != 2 {
 		t.Fatalf("first attempt at endpoint %d, want 2", target)
 	}
-	h.b.endpoints[3].rotation.currentWeight = 1000 // next in the rotation, which must not matter for a retry
+	h.b.endpoints[3].rotation.currentWeight = 1000 // next in the rotation, which a retry must ignore
 	if target, ok := attemptTarget(h.finishAttempt(id, 0, Rejected, 1)); !ok || target != 3 {
 		t.Fatalf("retried at endpoint %d (%v), want 3", target, ok)
 	}
 }
 
-// What may follow a first attempt, for each idempotency, deduplication scope and result, within the
-// deduplication window and after it: a retry, a rejection or a failure.
+// A first attempt is followed by a retry, a rejection or a failure, as its idempotency, deduplication scope
+// and result allow within the deduplication window and after it.
 func TestRetryEligibilityByResult(t *testing.T) {
 	classes := []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass}
 	results := []Result{ServerError, Rejected, TimedOut, ConnectFailed, Reset, Canceled}
@@ -40,11 +40,12 @@
 	}
 }
 
+// checkAfterFirstAttempt ends the first attempt of a request with the given result and checks what follows.
 func checkAfterFirstAttempt(t *testing.T, class int, result Result, windowPassed bool) {
 	t.Helper()
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a retry has its value to the end
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // late retries keep their full value
 		cfg.Classes[i].DedupWindow = 200
 	}
 	h := newHarness(t, cfg, newEndpoints(8)...)
@@ -68,7 +69,7 @@
 	if !retried {
 		mayReject := c.Idempotency == IdempotentWithKey && c.DedupScope == DedupAll
 		if hasAction(actions, Reject) != mayReject || hasAction(actions, Fail) == mayReject {
-			t.Fatalf("got actions %+v, want a rejection: %v, else a failure", actions, mayReject)
+			t.Fatalf("got actions %+v; want a rejection: %v, otherwise a failure", actions, mayReject)
 		}
 		return
 	}
@@ -81,7 +82,7 @@
 	}
 }
 
-// A request that may have run must not be rejected, as its client could then repeat it.
+// A request that may have run must fail rather than be rejected, because clients repeat rejected requests.
 func TestPossiblyExecutedRequestsAreFailedNotRejected(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
@@ -107,21 +108,21 @@
 	}
 }
 
-// Incident: a hung endpoint caused no error before the client's timeout. What may run again is retried at
-// another endpoint once the first attempt is overdue: never while that is still in flight, and not where
-// nothing can be gained.
+// Guards against requests that wait for a hung endpoint, which causes no error, until the client's timeout. A
+// request that may run again is retried at another endpoint when its attempt is overdue, but only after that
+// attempt has ended, and only if the other endpoint can serve the request in time and no load is shed.
 func TestOverdueAttemptIsRetriedElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		class         int
 		endpointCount int
-		shed          float64
-		age           float64 // of the request
+		shed          float64 // fraction of the load that is shed, from 0 to 1
+		age           float64 // ms from the request's arrival to the timer
 		retried       bool
 	}{
 		{"hung endpoint", idempotentClass, 3, 0, 100, true},
 		{"non-idempotent", nonIdempotentClass, 3, 0, 100, false},
-		{"key recognized in its cell only", cellKeyClass, 3, 0, 100, false},
+		{"key recognized only in its cell", cellKeyClass, 3, 0, 100, false},
 		{"no other endpoint", idempotentClass, 1, 0, 100, false},
 		{"load is shed", idempotentClass, 3, 0.5, 100, false},
 		{"too late for its objective", idempotentClass, 3, 0, 299, false},
@@ -158,7 +159,7 @@
 	}
 }
 
-// Incident: in a failing fleet every request was sent twice, which doubled the load. A budget bounds retries.
+// Guards against doubled load: in a failing fleet every request was retried. The retry budget limits retries.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(6)...)
 	retries := 0
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -1,25 +1,40 @@
 package balance
 
-// Stats holds, for logs, the counts since New and the present view of the load.
+// Stats holds counts since New and the current state of the load, for logs.
 type Stats struct {
-	// Requests that ended unserved, by cause.
-	PastObjective    int // rejected on arrival: a client's retry whose objective had passed
-	Shed             int // rejected on arrival: load beyond what the fleet can serve
-	RetriesExhausted int // given up after one or more attempts
-	NotSent          int // given up without any attempt
+	// PastObjective is the number of requests rejected on arrival as retries of a client whose latency
+	// objective had already passed.
+	PastObjective int
+	// Shed is the number of requests rejected on arrival as load beyond what the fleet can serve.
+	Shed int
+	// RetriesExhausted is the number of requests that were given up after one or more attempts.
+	RetriesExhausted int
+	// NotSent is the number of requests that were admitted but given up without any attempt.
+	NotSent int
 
-	BaseShedFraction float64 // the fraction of the load that is being shed
-	Overload         float64 // by how much responses take too long, as a fraction of their objective
-	BaselineLatency  float64 // the least mean latency, as a fraction of the objective
-	ShortTermLatency float64 // the mean latency of the last few responses, likewise
-	ConcurrencyLimit float64 // requests in flight, per nominal capacity, above which load is shed
-	Ejected          int     // endpoints
-	WarmingUp        int     // endpoints
-	GossipReceived   int     // messages of other sidecars that were taken in
-	GossipDropped    int     // messages that were invalid, old, duplicates or of unknown senders
+	// BaseShedFraction is the fraction of the load, from 0 to 1, that is being shed.
+	BaseShedFraction float64
+	// Overload is the estimated excess of the mean latency over the allowed latency, as a fraction of the
+	// latency objective. It is negative while there is no overload.
+	Overload float64
+	// BaselineLatency is the lowest mean latency so far, as a fraction of the latency objective.
+	BaselineLatency float64
+	// ShortTermLatency is the mean latency of the last few responses, as a fraction of the latency objective.
+	ShortTermLatency float64
+	// ConcurrencyLimit is the number of requests in flight per unit of nominal capacity above which load is
+	// shed.
+	ConcurrencyLimit float64
+	// Ejected is the number of endpoints that are ejected now.
+	Ejected int
+	// WarmingUp is the number of endpoints that are warming up now.
+	WarmingUp int
+	// GossipReceived is the number of accepted messages from other sidecars.
+	GossipReceived int
+	// GossipDropped is the number of messages dropped as invalid, old, duplicate or from an unknown sender.
+	GossipDropped int
 }
 
-// Stats returns the counts since New and the present view of the load.
+// Stats returns the counts since New and the current state of the load.
 func (b *Balancer) Stats() Stats {
 	stats := b.stats
 	stats.BaseShedFraction = b.shedder.baseFraction
