--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
-// Package simwire translates the simulator's binary frames to the types of package balance and back. It takes no
-// decisions.
+// Package simwire decodes the simulator's binary frames into events of package balance and encodes actions of package
+// balance as replies. It makes no decisions.
 package simwire
 
 import (
@@ -13,75 +13,78 @@
 	"pebblelift/balance"
 )
 
-// Event codes.
+// The event codes of records in the simulator's frames. Action codes in replies overlap with event codes.
 const (
-	codeEndpointTable     = 1000
-	codeRequest           = 1010
-	codeTimer             = 1020
-	codeResponseStarted   = 1030
-	codeEndpointUpdate    = 1040
-	codeGossip            = 1050
-	codeInstanceDown      = 1060
-	codeInstanceStart     = 1070
-	codeHealthCheckResult = 1080
-	codeAttemptResult     = 1090
-	codeClientCanceled    = 1100
+	codeEndpointTable     = 1000 // event code of an endpoint table, to which endpoint updates refer
+	codeRequest           = 1010 // event code of a balance.Request
+	codeTimer             = 1020 // event code of a balance.Timer
+	codeResponseStarted   = 1030 // event code of a balance.ResponseStarted
+	codeEndpointUpdate    = 1040 // event code of a balance.EndpointUpdate
+	codeGossip            = 1050 // event code of a balance.GossipMessage
+	codeInstanceDown      = 1060 // event code of an InstanceDown
+	codeInstanceStart     = 1070 // event code of an InstanceStart
+	codeHealthCheckResult = 1080 // event code of a balance.HealthCheckResult
+	codeAttemptResult     = 1090 // event code of a balance.AttemptResult
+	codeClientCanceled    = 1100 // event code of a balance.ClientCanceled
 )
 
 const (
-	frameHeaderSize = 16
-	tableEntrySize  = 23
-	maxFrameSize    = 1 << 28 // far above any batch of the simulator
-	maxTables       = 16
+	frameHeaderSize = 16      // size in bytes of a frame's header: record count, frame length, clock
+	tableEntrySize  = 23      // size in bytes of one endpoint in an endpoint table
+	maxFrameSize    = 1 << 28 // largest valid frame in bytes, far above the simulator's largest batch
+	maxTables       = 16      // number of endpoint tables that can exist; their numbers start from 0
 )
 
-// The bits of a request record.
+// The flags of a request record.
 const (
-	requestHasWorkHint = 1 << iota
-	requestIsRetry
-	requestMutates
+	requestHasWorkHint = 1 << iota // flag of a request record whose work hint is valid
+	requestIsRetry                 // flag of a request that the client marked as a retry
+	requestMutates                 // flag of a request that changes data
 )
 
+// lifecycleCodes maps the lifecycle codes of endpoint tables to lifecycles.
 var lifecycleCodes = map[uint8]balance.Lifecycle{0: balance.Ready, 1: balance.Removed, 2: balance.Draining}
 
+// updateCodes maps the list codes of endpoint updates to update kinds.
 var updateCodes = map[uint8]balance.UpdateKind{
 	0: balance.Snapshot, 1: balance.CachedSnapshot, 2: balance.WatchFailed, 3: balance.Delta,
 }
 
+// resultCodes maps the result codes of attempts and health checks to results.
 var resultCodes = map[uint16]balance.Result{
 	0: balance.OK, 13: balance.ServerError, 8: balance.Rejected, 4: balance.TimedOut,
 	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Canceled, 9: balance.NotSent,
 }
 
-// InstanceStart starts an instance; Settings is the raw settings object.
+// InstanceStart asks for the start of an instance, which is one simulated sidecar.
 type InstanceStart struct {
-	Seed     uint64
-	Settings []byte
+	Seed     uint64 // seed of the instance's random numbers
+	Settings []byte // settings object of the instance, in JSON
 }
 
-// InstanceDown says that an instance was killed.
+// InstanceDown reports that an instance was killed.
 type InstanceDown struct{}
 
-// Record is one event for one instance: an InstanceStart, an InstanceDown or a balance.Event.
+// Record is one event for one instance.
 type Record struct {
-	Instance uint16
-	Event    any
+	Instance uint16 // number of the instance that gets the event
+	Event    any    // an InstanceStart, an InstanceDown or a balance.Event
 }
 
-// Reader reads frames. Endpoint tables live across frames.
+// Reader reads frames. Endpoint tables stay valid in later frames until they are replaced.
 type Reader struct {
-	in       io.Reader
-	buf      bytes.Buffer
-	tables   [maxTables][]balance.Endpoint
-	hasTable [maxTables]bool
-	report   []float32 // reused for each record
+	in           io.Reader
+	buf          bytes.Buffer                  // records of the current frame
+	tables       [maxTables][]balance.Endpoint // endpoint tables by their numbers
+	hasTable     [maxTables]bool               // which endpoint tables have been received
+	reportBuffer []float32                     // load report of the current record, reused for each record
 }
 
-// NewReader returns a reader of the frames of in, which should be buffered.
+// NewReader returns a Reader of the frames in the given input, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock. It returns io.EOF at an end of
-// input between frames. Slices in events are valid during the call only.
+// Read reads the next frame and calls handle for each of its events, in order, with the frame's clock in ms. It returns
+// io.EOF if the input ends between frames. Slices in events are valid only during the call of handle.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
 	count, clock, err := r.readFrame()
 	if err != nil {
@@ -99,13 +102,14 @@
 		}
 	}
 	if f.remaining() != 0 {
-		return fmt.Errorf("%d bytes after the last of %d records", f.remaining(), count)
+		return fmt.Errorf("%d unread bytes after the last of %d records in the frame", f.remaining(), count)
 	}
 	return nil
 }
 
-// readFrame reads the next frame's records into the buffer, which grows with what arrives, not with what the header
-// claims.
+// readFrame reads the records of the next frame into the buffer and returns the record count and the clock, in ms, from
+// the header. The buffer grows with the bytes that arrive, so that a wrong length in the header causes no large
+// allocation.
 func (r *Reader) readFrame() (count uint32, clock float64, err error) {
 	var head [frameHeaderSize]byte
 	_, err = io.ReadFull(r.in, head[:])
@@ -122,12 +126,12 @@
 		return 0, 0, fmt.Errorf("frame length %d: want %d to %d", size, frameHeaderSize, maxFrameSize)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return 0, 0, fmt.Errorf("frame clock is %v", clock)
+		return 0, 0, fmt.Errorf("frame clock is %v, want a finite number", clock)
 	}
 	r.buf.Reset()
 	n, err := io.CopyN(&r.buf, r.in, int64(size-frameHeaderSize))
 	if errors.Is(err, io.EOF) {
-		err = io.ErrUnexpectedEOF // io.EOF is the end between frames
+		err = io.ErrUnexpectedEOF // io.EOF means an end of input between frames
 	}
 	if err != nil {
 		return 0, 0, fmt.Errorf("frame of %d bytes truncated after %d: %w", size, n+frameHeaderSize, err)
@@ -135,6 +139,7 @@
 	return count, clock, nil
 }
 
+// record decodes the next record of a frame.
 func (r *Reader) record(f *recordReader) (Record, error) {
 	code, instance := f.u16(), f.u16()
 	if f.truncated {
@@ -150,7 +155,8 @@
 	return Record{Instance: instance, Event: event}, nil
 }
 
-// event returns no event for a record that is a table, whose number stands in place of the instance.
+// event decodes the part of a record that depends on its event code. For an endpoint table, whose record has the table
+// number in place of the instance, it stores the table and returns nil.
 func (r *Reader) event(code, instance uint16, f *recordReader) (any, error) {
 	switch code {
 	case codeEndpointTable:
@@ -184,19 +190,20 @@
 	}
 }
 
+// endpointTable decodes an endpoint table and stores it under its number.
 func (r *Reader) endpointTable(f *recordReader, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("endpoint table %d: want 0 to %d", table, maxTables-1)
 	}
 	n := f.u32()
 	if uint64(n)*tableEntrySize > uint64(f.remaining()) {
-		return fmt.Errorf("%d entries: %w", n, ErrTruncated)
+		return fmt.Errorf("endpoint table of %d entries: %w", n, ErrTruncated)
 	}
 	endpoints := make([]balance.Endpoint, n)
 	for i := range endpoints {
 		e, err := readEndpoint(f)
 		if err != nil {
-			return fmt.Errorf("entry %d: %w", i, err)
+			return fmt.Errorf("endpoint table entry %d: %w", i, err)
 		}
 		endpoints[i] = e
 	}
@@ -204,12 +211,13 @@
 	return nil
 }
 
+// readEndpoint decodes one entry of an endpoint table.
 func readEndpoint(f *recordReader) (balance.Endpoint, error) {
 	e := balance.Endpoint{StartedAt: f.f64()}
 	code := f.u8()
 	lifecycle, known := lifecycleCodes[code]
 	if !known {
-		return e, fmt.Errorf("unknown lifecycle %d", code)
+		return e, fmt.Errorf("unknown lifecycle code %d", code)
 	}
 	e.Lifecycle = lifecycle
 	e.ID = f.endpointID()
@@ -220,40 +228,43 @@
 	return e, nil
 }
 
+// endpointUpdate decodes an update, whose entries are those of the endpoint table that it names.
 func (r *Reader) endpointUpdate(f *recordReader) (any, error) {
 	code := f.u8()
-	f.u32() // the list's generation
+	f.u32() // generation of the endpoint list, which is not used
 	table := f.u16()
 	if f.truncated {
 		return nil, ErrTruncated
 	}
 	kind, known := updateCodes[code]
 	if !known {
-		return nil, fmt.Errorf("unknown list kind %d", code)
+		return nil, fmt.Errorf("unknown endpoint update kind %d", code)
 	}
 	if kind == balance.WatchFailed {
 		return balance.EndpointUpdate{Kind: kind}, nil
 	}
 	if table >= maxTables || !r.hasTable[table] {
-		return nil, fmt.Errorf("endpoint table %d was never sent", table)
+		return nil, fmt.Errorf("endpoint table %d has not been sent", table)
 	}
 	return balance.EndpointUpdate{Kind: kind, Endpoints: r.tables[table]}, nil
 }
 
+// request decodes a client's request.
 func request(f *recordReader) balance.Request {
 	r := balance.Request{ID: f.requestID(), Tenant: int(f.u16())}
-	workHint, bits := f.f64(), f.u16()
-	if bits&requestHasWorkHint != 0 {
+	workHint, flags := f.f64(), f.u16()
+	if flags&requestHasWorkHint != 0 {
 		r.WorkHint = workHint
 	}
-	r.IsRetry = bits&requestIsRetry != 0
-	r.Mutates = bits&requestMutates != 0
+	r.IsRetry = flags&requestIsRetry != 0
+	r.Mutates = flags&requestMutates != 0
 	r.AffinityKey = f.u64()
 	r.Timeout = f.f64()
 	r.Class = int(f.u16())
 	return r
 }
 
+// responseStarted decodes the start of a streamed response.
 func responseStarted(f *recordReader) balance.ResponseStarted {
 	return balance.ResponseStarted{
 		Request:  f.requestID(),
@@ -263,6 +274,7 @@
 	}
 }
 
+// attemptResult decodes the end of an attempt.
 func (r *Reader) attemptResult(f *recordReader) (any, error) {
 	event := balance.AttemptResult{Request: f.requestID(), Attempt: int(f.u8()), Endpoint: f.endpointID()}
 	code := f.u16()
@@ -274,6 +286,7 @@
 	return event, err
 }
 
+// healthCheckResult decodes the end of a health check.
 func (r *Reader) healthCheckResult(f *recordReader) (any, error) {
 	event := balance.HealthCheckResult{Latency: f.f64()}
 	code := f.u16()
@@ -284,18 +297,20 @@
 	return event, err
 }
 
+// result returns the result for a result code. A truncated record causes no error here, as record reports it.
 func result(code uint16, f *recordReader) (balance.Result, error) {
 	res, known := resultCodes[code]
 	if !known && !f.truncated {
-		return 0, fmt.Errorf("unknown result %d", code)
+		return 0, fmt.Errorf("unknown result code %d", code)
 	}
 	return res, nil
 }
 
+// loadReport decodes the values of a load report. The returned slice is valid until the next record is read.
 func (r *Reader) loadReport(f *recordReader) []float32 {
-	r.report = r.report[:0]
+	r.reportBuffer = r.reportBuffer[:0]
 	for n := f.u8(); n > 0; n-- {
-		r.report = append(r.report, f.f32())
+		r.reportBuffer = append(r.reportBuffer, f.f32())
 	}
-	return r.report
+	return r.reportBuffer
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,35 +8,35 @@
 	"pebblelift/balance"
 )
 
-// Action codes.
+// The action codes of records in replies. Event codes in the simulator's frames overlap with action codes.
 const (
-	codeStartAttempt  = 1000
-	codeReject        = 1010
-	codeFail          = 1020
-	codeCancelAttempt = 1030
-	codeSetTimer      = 1040
-	codeHealthCheck   = 1050
-	codeCloseIdle     = 1060
-	codeSendGossip    = 1070
-	codeLog           = 1080
-	codeFault         = 1090
-	codeWatch         = 1100
-	codeFetch         = 1110
+	codeStartAttempt  = 1000 // action code of balance.StartAttempt
+	codeReject        = 1010 // action code of balance.Reject
+	codeFail          = 1020 // action code of balance.Fail
+	codeCancelAttempt = 1030 // action code of balance.CancelAttempt
+	codeSetTimer      = 1040 // action code of balance.SetTimer
+	codeHealthCheck   = 1050 // action code of balance.HealthCheck
+	codeCloseIdle     = 1060 // action code of balance.CloseIdle
+	codeSendGossip    = 1070 // action code of balance.SendGossip
+	codeLog           = 1080 // action code of balance.Log
+	codeFault         = 1090 // action code of a fault; see Reply.Fault
+	codeWatch         = 1100 // action code of balance.Watch
+	codeFetch         = 1110 // action code of balance.Fetch
 )
 
 const (
-	allPeersCode = 0xffffffff
-	maxTextSize  = 0xffff
-	watchChanges = 1 // rather than the whole list each time
+	allPeersCode   = 0xffffffff // peer index in a gossip action that stands for all other sidecars
+	maxTextSize    = 0xffff     // largest size in bytes of a text or gossip message; the rest is cut off
+	watchModeDelta = 1          // watch mode in which discovery sends changes instead of whole lists
 )
 
-// emptyReply is a reply of no actions, with room for its length.
+// emptyReply is a reply without actions: the four bytes of the length, which WriteTo fills in.
 var emptyReply = []byte{0, 0, 0, 0}
 
-// Reply gathers the actions that answer one frame.
+// Reply collects the actions that answer one frame. Reset must be called before the first use.
 type Reply struct{ buf []byte }
 
-// Reset empties the reply.
+// Reset removes all actions from the reply.
 func (r *Reply) Reset() { r.buf = append(r.buf[:0], emptyReply...) }
 
 // WriteTo writes the reply as one frame.
@@ -53,12 +53,13 @@
 	}
 }
 
-// Fault reports that an instance's balancer failed.
+// Fault appends a report that an instance failed, with a text that says why.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.header(codeFault, instance)
 	r.text([]byte(text))
 }
 
+// add appends one action of an instance.
 func (r *Reply) add(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.StartAttempt:
@@ -100,12 +101,13 @@
 		r.text([]byte(a.Text))
 	case balance.Watch:
 		r.header(codeWatch, instance)
-		r.buf = append(r.buf, watchChanges)
+		r.buf = append(r.buf, watchModeDelta)
 	case balance.Fetch:
 		r.header(codeFetch, instance)
 	}
 }
 
+// header appends the action code and the instance, with which each action begins.
 func (r *Reply) header(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
@@ -114,11 +116,13 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
+// endpointID appends an endpoint's ID as four bytes of address and two bytes of port.
 func (r *Reply) endpointID(id balance.EndpointID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
+// text appends a length of two bytes and the text, which is cut off after maxTextSize bytes.
 func (r *Reply) text(b []byte) {
 	if len(b) > maxTextSize {
 		b = b[:maxTextSize]
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -10,8 +10,8 @@
 	"pebblelift/balance"
 )
 
-// unhex decodes hexadecimal text, in which white space is ignored.
-func unhex(t testing.TB, text string) []byte {
+// decodeHex decodes hexadecimal text and ignores white space in the text.
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -20,7 +20,7 @@
 	return b
 }
 
-// readAll reads frames up to the end of the input. It returns their records and the clock of the last frame.
+// readAll reads all frames of the input. It returns their records and the clock of the last frame with records, in ms.
 func readAll(r *Reader) ([]Record, float64, error) {
 	var records []Record
 	var lastClock float64
@@ -39,8 +39,9 @@
 	}
 }
 
-// The example frames of the protocol's documentation: no records; a request, a timer and a canceled client; an endpoint
-// table and an update that refers to it; the result of an attempt.
+// The example frames of the protocol's documentation. emptyFrame has no records. eventsFrame has a request, a timer and
+// a canceled client. updateFrame has an endpoint table and an update that refers to the table. resultFrame has the
+// result of an attempt.
 const (
 	emptyFrame  = "00000000 00000010 40c06e2000000000"
 	eventsFrame = `00000003 00000052 40c06e2000000000
@@ -56,9 +57,9 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-// The reader decodes the example frames of the protocol's documentation.
+// The reader decodes the example frames of the protocol's documentation to the documented values.
 func TestReaderDecodesDocumentedExamples(t *testing.T) {
-	in := unhex(t, emptyFrame+eventsFrame+updateFrame+resultFrame)
+	in := decodeHex(t, emptyFrame+eventsFrame+updateFrame+resultFrame)
 	records, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +94,7 @@
 	}
 }
 
-// The reply has the encoding of the examples in the protocol's documentation.
+// A reply is encoded as in the examples of the protocol's documentation.
 func TestReplyEncodesDocumentedExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
@@ -107,7 +108,7 @@
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, `00000057
+	want := decodeHex(t, `00000057
 		03e8 0003 0002978f5d3a91c4 40c0960000000000 0a124a07232b
 		0410 0003 000000000000004d 407f400000000000
 		0438 0005 0011 74776f2073657276657273206b6e6f776e
@@ -117,7 +118,7 @@
 	}
 }
 
-// A malformed frame is an error.
+// The reader returns an error for a malformed frame.
 func TestMalformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
 		"truncated header":           "00000000 0000",
@@ -136,20 +137,20 @@
 		"unknown result":             strings.Replace(resultFrame, "232b 0000", "232b 0055", 1),
 		"fewer records than claimed": strings.Replace(resultFrame, "00000001", "00000002", 1),
 	} {
-		records, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame))))
+		records, _, err := readAll(NewReader(bytes.NewReader(decodeHex(t, frame))))
 		if err == nil {
 			t.Errorf("%s: no error, records %+v", name, records)
 		}
 	}
 }
 
-// No input makes the reader panic, and input that is shorter than a frame header is an error. In CI only the seed corpus
-// runs, as an ordinary test.
+// FuzzReader checks that no input makes the reader panic and that input shorter than a frame header is an error. CI
+// runs only the seed corpus, as an ordinary test.
 func FuzzReader(f *testing.F) {
 	for _, frame := range []string{emptyFrame, eventsFrame, updateFrame, resultFrame, eventsFrame + updateFrame} {
-		f.Add(unhex(f, frame))
+		f.Add(decodeHex(f, frame))
 	}
-	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
+	f.Add(decodeHex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		records, _, err := readAll(NewReader(bytes.NewReader(in)))
 		if err == nil && len(in) > 0 && len(in) < frameHeaderSize {
