--- a/balance/admission.go
+++ b/balance/admission.go
@@ -3,49 +3,86 @@
 import "math"
 
 const (
-	queueAllowance      = 0.25 // of the objective beyond the baseline latency: more of a queue is overload
-	trustedLoadFraction = 0.85 // of the requests in flight that is held against the rate of responses
-	assumedResponses    = 2    // beside the recent responses of a sidecar that has hardly any
-	maxEstimatedLatency = 2    // objectives
-	immediateShedGain   = 4    // fraction of the load to shed at once, per objective of overload
-	baseShedGain        = 0.04 // and lastingly, more for each request
-	lowTrafficRequests  = 5    // requests within an objective, under which each counts for more
-	maxShedFraction     = 0.95 // never all: responses are needed to see that the overload is gone
-	maxQuotaFraction    = 2    // a tenant counts as at most this far under its quota
-	similarValueFactor  = 1.25 // values within this factor are shed alike: no tenant pays for a tiny excess
-	minRetryAfter       = 0.05 // of the objective
-	maxRetryAfter       = 0.25 // of the objective: a later retry of the client would be too late
-	minMeanLatency      = 1e-3 // ms
-	clearlyShorter      = 0.99 // of the longest timeout: a timeout under this is not a first try's
+	// allowedQueueingFraction is the fraction of the span between the baseline latency and the latency
+	// objective that queueing may add to the latency of responses. Anything beyond it is overload.
+	allowedQueueingFraction = 0.25
+	// countedInFlightFraction is the fraction of the attempts in flight that counts when the latency of
+	// responses is estimated from the attempts in flight and the response rate (Little's law).
+	countedInFlightFraction = 0.85
+	// assumedResponses is the number of responses added to those that were counted when the response rate is
+	// estimated, so that a sidecar with hardly any recent responses gets a usable rate.
+	assumedResponses = 2
+	// maxEstimatedLatency is the upper bound, in latency objectives, on the estimated latency of responses
+	// when the overload is computed.
+	maxEstimatedLatency = 2
+	// immediateShedGain is the fraction of the load that is shed in addition to the base shed fraction, per
+	// latency objective by which the estimated latency exceeds the allowed latency. It takes effect at once
+	// and lasts as long as the excess. A latency below the allowed one lowers the fraction in the same way.
+	immediateShedGain = 4
+	// baseShedGain is the increase of the base shed fraction with each arriving request, per latency
+	// objective by which the estimated latency exceeds the allowed latency. The base shed fraction persists
+	// between requests and falls while the latency is below the allowed one.
+	baseShedGain = 0.04
+	// lowTrafficRequests is the number of requests per longest latency objective below which each request
+	// changes the base shed fraction by more, and the maximum factor of that increase.
+	lowTrafficRequests = 5
+	// maxShedFraction is the maximum fraction of the load to shed. It is below 1 because responses are needed
+	// to see that an overload has ended.
+	maxShedFraction = 0.95
+	// maxQuotaRatio is the upper bound on the ratio of a tenant's quota to its traffic when the value of the
+	// tenant's requests is computed.
+	maxQuotaRatio = 2
+	// similarValueFactor is the ratio up to which requests have a similar shed value (their value for the
+	// goal per unit of work) and are shed with equal probability. So a tenant slightly over its quota does
+	// not bear all of the shedding.
+	similarValueFactor = 1.25
+	// minRetryAfter is the lower bound on the Retry-After of a rejected request, as a fraction of the latency
+	// objective. The longest Retry-After that clients obey may be shorter and then takes precedence.
+	minRetryAfter = 0.05
+	// maxRetryAfter is the upper bound on the Retry-After of a rejected request, as a fraction of the latency
+	// objective. After a longer wait the client's retry would be too late.
+	maxRetryAfter = 0.25
+	// minMeanLatency is the lower bound, in ms, on the mean latency of a class where the mean latency is a
+	// divisor.
+	minMeanLatency = 1e-3
+	// retryTimeoutRatio is the fraction of the longest timeout of first requests of a class below which a
+	// request's timeout counts as what is left of the deadline of a client's retry.
+	retryTimeoutRatio = 0.99
 )
 
-// loadShedder decides, from what this sidecar sees by itself, which fraction of the load to reject before any
-// attempt.
+// loadShedder decides which fraction of the load to reject before any attempt. It uses only what this sidecar
+// observes itself.
 type loadShedder struct {
-	longestObjective float64
-	responseRate     rateMeter
-	baseFraction     float64 // of the load that is shed lastingly
-	overload         float64 // what responses take beyond what they may, as a fraction of the objective
+	longestObjective float64   // ms
+	responseRate     rateMeter // successful responses
+	baseFraction     float64   // base shed fraction; it outlasts the overload
+
+	// overload is the latency beyond the allowed latency, as a fraction of the objective. With gossip it is
+	// the load beyond the concurrency limit; see fleetShedFraction.
+	overload float64
 }
 
 func newLoadShedder(longestObjective float64) loadShedder {
 	return loadShedder{longestObjective: longestObjective, responseRate: newRateMeter(longestObjective)}
 }
 
-// update follows the load and returns the fraction to shed now. By Little's law the attempts in flight over
-// the rate of responses give how long responses take, sooner than these do.
+// update takes in the present load and returns the fraction of the load to shed now. By Little's law the
+// attempts in flight divided by the response rate are the latency of responses. This estimate shows overload
+// before the slow responses themselves arrive.
 func (s *loadShedder) update(now, inFlight, requestRate float64, latency *latencyTracker) float64 {
-	estimated := trustedLoadFraction * inFlight / s.responseRate.rate(now, assumedResponses)
-	allowed := latency.baseline + queueAllowance*(1-latency.baseline)
-	seen := math.Min(estimated, 2*latency.shortTerm) // some requests are in flight together by chance
-	s.overload = math.Min(seen, maxEstimatedLatency) - allowed
-	haste := clamp(lowTrafficRequests/(requestRate*s.longestObjective), 1, lowTrafficRequests)
-	s.baseFraction = clamp(s.baseFraction+baseShedGain*haste*s.overload, 0, maxShedFraction)
-	most := math.Min(maxShedFraction, 2*s.baseFraction) // not by chance alone
-	return clamp(s.baseFraction+immediateShedGain*s.overload, 0, most)
+	estimated := countedInFlightFraction * inFlight / s.responseRate.rate(now, assumedResponses)
+	allowed := latency.baseline + allowedQueueingFraction*(1-latency.baseline)
+	bounded := math.Min(estimated, 2*latency.shortTerm) // requests may be in flight together by chance
+	s.overload = math.Min(bounded, maxEstimatedLatency) - allowed
+	lowTrafficFactor := clamp(lowTrafficRequests/(requestRate*s.longestObjective), 1, lowTrafficRequests)
+	s.baseFraction = clamp(s.baseFraction+baseShedGain*lowTrafficFactor*s.overload, 0, maxShedFraction)
+	// A sidecar that has not shed lately must not shed because of requests in flight together by chance.
+	limit := math.Min(maxShedFraction, 2*s.baseFraction)
+	return clamp(s.baseFraction+immediateShedGain*s.overload, 0, limit)
 }
 
-// admit sheds load that the fleet cannot serve within its objectives, before anything is sent.
+// admit reports whether a request may be sent. It sheds load that the fleet cannot serve within the latency
+// objectives, before any attempt is made.
 func (b *Balancer) admit(r *request) bool {
 	shed := b.shedFraction()
 	if b.pastObjective(r) && b.shedder.baseFraction >= r.class.LateWeight {
@@ -59,10 +96,11 @@
 	return true
 }
 
-// shedFraction is the fraction of the load to shed now: by the fleet's requests in flight where there is
-// fresh gossip, else by what this sidecar sees.
+// shedFraction returns the fraction of the load to shed now. With fresh gossip it follows from the fleet's
+// requests in flight, otherwise from what this sidecar observes itself. Where gossip was lost, the larger of
+// both fractions counts.
 func (b *Balancer) shedFraction() float64 {
-	shed := b.shedder.update(b.now, b.countedLoad(), b.requestRate.rate(b.now, 0), &b.latency)
+	shed := b.shedder.update(b.now, b.overloadSignal(), b.requestRate.rate(b.now, 0), &b.latency)
 	switch {
 	case b.gossip.fresh(b.now):
 		shed = b.fleetShedFraction()
@@ -73,9 +111,10 @@
 	return shed
 }
 
-// countedLoad is the load in flight that counts for overload. Hung attempts at a few endpoints are a fault
-// of these; at most of the endpoints they are overload.
-func (b *Balancer) countedLoad() float64 {
+// overloadSignal returns the load in flight that counts as a sign of overload. Attempts that hang at a few
+// ejected endpoints are a fault of these endpoints and do not count. If most of the load is at ejected
+// endpoints, the cause is overload, and all of the load counts.
+func (b *Balancer) overloadSignal() float64 {
 	healthy, ejected := b.inFlightLoad()
 	if ejected > healthy {
 		return healthy + ejected
@@ -83,8 +122,9 @@
 	return healthy
 }
 
-// inFlightLoad is what is in flight, each attempt as one over its objective, at endpoints that were not
-// ejected since they last answered and at the others.
+// inFlightLoad returns the load of the attempts in flight, each counted as 1 divided by its latency
+// objective: at endpoints that were not ejected since their last response (healthy) and at all others
+// (ejected).
 func (b *Balancer) inFlightLoad() (healthy, ejected float64) {
 	for _, e := range b.endpoints {
 		if e.outlier.ejectedUntil == 0 {
@@ -96,9 +136,10 @@
 	return healthy, ejected
 }
 
-// pastObjective reports whether the request is a client's retry whose objective has passed. Its timeout
-// shows that: if it is shorter than that of first tries, it is what is left of the deadline. The timeouts of
-// marked retries are not learned from, as some clients give each retry the whole timeout.
+// pastObjective reports whether the request is a client's retry whose latency objective has passed. The
+// timeout shows that: a timeout shorter than that of first requests is what is left of the client's deadline.
+// The timeouts of marked retries do not count for the longest timeout of first requests, as some clients give
+// each retry the whole timeout.
 func (b *Balancer) pastObjective(r *request) bool {
 	longest := &r.classStats.longestTimeout
 	if !b.cfg.ClientsMarkRetries || !r.IsRetry {
@@ -107,64 +148,66 @@
 	if b.cfg.ClientsMarkRetries && !r.IsRetry {
 		return false
 	}
-	return r.Timeout < clearlyShorter*(*longest) && r.Timeout <= r.class.Deadline-r.class.LatencyObjective
+	return r.Timeout < retryTimeoutRatio*(*longest) && r.Timeout <= r.class.Deadline-r.class.LatencyObjective
 }
 
-// shedProbability spreads the load to shed over classes and tenants: first goes what adds least to the goal
-// for its work. The goal weighs the worst-served class and tenant on their own.
+// shedProbability returns the probability with which to reject a request so that the given fraction of the
+// work is shed. Requests of the classes and tenants with the lowest shed value are rejected first.
 func (b *Balancer) shedProbability(r *request, shed float64) float64 {
 	demand := b.demand.summarize()
-	own := b.shedValue(r.classStats, r.tenant, &demand)
-	total, below, similar := 0.0, 0.0, 1e-3
+	ownValue := b.shedValue(r.classStats, r.tenant, &demand)
+	totalWork, lowerValueWork, similarValueWork := 0.0, 0.0, 1e-3
 	for c := range b.demand.classes {
 		class := &b.demand.classes[c]
 		for t := range b.demand.tenants {
 			tenant := &b.demand.tenants[t]
 			work := class.requested * class.meanLatency * tenant.requested
-			total += work
-			if value := b.shedValue(class, tenant, &demand); value*similarValueFactor < own {
-				below += work
-			} else if value < own*similarValueFactor {
-				similar += work
+			totalWork += work
+			if value := b.shedValue(class, tenant, &demand); value*similarValueFactor < ownValue {
+				lowerValueWork += work
+			} else if value < ownValue*similarValueFactor {
+				similarValueWork += work
 			}
 		}
 	}
-	return (shed*total - below) / similar
+	return (shed*totalWork - lowerValueWork) / similarValueWork
 }
 
-// shedValue is what a request of a class and tenant adds to the goal, for its work.
+// shedValue returns what a request of a class and tenant adds to the goal, per unit of its work. The goal
+// weighs the worst-served class and the worst-served tenant separately.
 func (b *Balancer) shedValue(class *classStats, tenant *serviceTally, demand *demandSummary) float64 {
 	goal := &b.cfg.Goal
 	value := (goal.Overall + goal.WorstWindow) * class.priorityWeight / demand.value
 	if class == demand.worstClass {
 		value += goal.WorstClass / class.requested
 	}
-	value *= b.quotaFraction(tenant, demand.requests)
+	value *= b.quotaWeight(tenant, demand.requests)
 	if tenant == demand.worstTenant {
 		value += goal.WorstTenant * class.priorityWeight / demand.value * demand.requests / tenant.requested
 	}
 	return value / math.Max(class.meanLatency, minMeanLatency)
 }
 
-// quotaFraction is the part of a tenant's traffic that counts in full, by its share of this sidecar's
-// requests.
-func (b *Balancer) quotaFraction(t *serviceTally, requests float64) float64 {
+// quotaWeight returns the factor on the value of a tenant's requests that follows from its quota. The part of
+// its traffic within the quota counts in full and the rest at OverQuotaWeight. The quota is the tenant's
+// share of all requests of this sidecar.
+func (b *Balancer) quotaWeight(t *serviceTally, requests float64) float64 {
 	if t.quotaShare <= 0 {
 		return 1
 	}
-	within := math.Min(t.quotaShare*requests/t.requested, maxQuotaFraction)
-	return b.cfg.OverQuotaWeight + (1-b.cfg.OverQuotaWeight)*within
+	quotaRatio := math.Min(t.quotaShare*requests/t.requested, maxQuotaRatio)
+	return b.cfg.OverQuotaWeight + (1-b.cfg.OverQuotaWeight)*quotaRatio
 }
 
-// retryAfter is when a rejected client should retry: after the time by which responses take too long now. A
-// longer wait would make the retry too late, and its work a waste.
+// retryAfter returns the Retry-After of a rejected request in ms, or 0 for none. It is the time by which
+// responses are too slow now. After a longer wait the client's retry would be late and its work wasted.
 func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.cfg.RetryAfter {
 		return 0
 	}
-	after := r.class.LatencyObjective * clamp(b.shedder.overload, minRetryAfter, maxRetryAfter)
+	delay := r.class.LatencyObjective * clamp(b.shedder.overload, minRetryAfter, maxRetryAfter)
 	if b.cfg.MaxRetryAfter > 0 {
-		after = math.Min(after, b.cfg.MaxRetryAfter)
+		delay = math.Min(delay, b.cfg.MaxRetryAfter)
 	}
-	return after
+	return delay
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Rejections carry a Retry-After that grows with overload, never exceeds what clients obey, and is left out
-// where the settings do not allow it.
+// Rejections carry a Retry-After that grows with the overload and never exceeds the longest one that clients
+// obey. There is no Retry-After if the settings do not allow it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		overload      float64
@@ -42,8 +42,9 @@
 	}
 }
 
-// A hung endpoint is skipped at once, by its requests in flight, and ejected after consecutive errors. The
-// requests that hang there must not look like overload of the whole fleet.
+// Guards against shedding because of a single hung endpoint, whose requests in flight look like overload of
+// the whole fleet. The endpoint must soon be skipped because of its requests in flight, and be ejected after
+// consecutive errors.
 func TestHungEndpointIsNotOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(6)...)
 	hung := 0
@@ -69,8 +70,8 @@
 	}
 }
 
-// Incident: in overload every queue filled and all responses came late. Load that cannot be served in time is
-// rejected before it is sent, that of the lowest priority weight first.
+// Guards against queues that fill in overload until all responses are late. Load that cannot be served in
+// time must be rejected before any attempt, requests of the lowest priority weight first.
 func TestOverloadShedsLowestPriorityFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	rejected := map[int]int{} // by class
@@ -95,9 +96,9 @@
 	}
 }
 
-// Requests that hang at an ejected endpoint are that endpoint's fault and must not cause shedding. But when a
-// whole fleet broke down and all endpoints were ejected, no load counted, and shedding stopped when it was
-// needed most.
+// Requests that hang at an ejected endpoint are a fault of the endpoint and must not cause shedding. The test
+// also guards against the opposite failure: after all endpoints of an overloaded fleet were ejected, no load
+// counted and shedding stopped.
 func TestEjectedEndpointsAreNoLoadUnlessMostAreEjected(t *testing.T) {
 	for _, c := range []struct {
 		ejectedLoad float64
@@ -123,22 +124,23 @@
 	}
 }
 
-// setOverload sets the base shed fraction, and so much load in flight that responses take longer than allowed
-// by the given fraction of their objective.
+// setOverload sets the base shed fraction, and adds load in flight until the estimated latency exceeds the
+// allowed latency by the given fraction of the latency objective.
 func (h *harness) setOverload(baseFraction, overload float64) {
 	h.b.shedder.baseFraction = baseFraction
-	allowed := h.b.latency.baseline + queueAllowance*(1-h.b.latency.baseline)
+	allowed := h.b.latency.baseline + allowedQueueingFraction*(1-h.b.latency.baseline)
 	responseRate := h.b.shedder.responseRate.rate(h.b.now, assumedResponses)
 	healthy, _ := h.b.inFlightLoad()
-	h.b.endpoints[0].objectiveLoad += (allowed+overload)*responseRate/trustedLoadFraction - healthy
+	h.b.endpoints[0].objectiveLoad += (allowed+overload)*responseRate/countedInFlightFraction - healthy
 	h.b.latency.shortTerm = 1
 }
 
-// arrival is the class and tenant of a request.
+// arrival holds the class and the tenant of a request, by their positions in Config.
 type arrival struct{ class, tenant int }
 
-// rejectedFractions sends 4000 requests, drawn from the arrivals, while 0.4 of the work is to be shed. It
-// returns the fraction of each class and of each tenant that was rejected.
+// rejectedFractions sends 4000 requests, drawn at random from the arrivals, while a fraction of 0.4 of the
+// work is to be shed. It returns the fraction of the requests of each class and of each tenant that was
+// rejected.
 func rejectedFractions(t *testing.T, cfg Config, arrivals ...arrival) (byClass, byTenant [5]float64) {
 	t.Helper()
 	h := newHarness(t, cfg, newEndpoints(4)...)
@@ -167,16 +169,16 @@
 	return byClass, byTenant
 }
 
-// Incident: busy sidecars let queues grow for seconds before they shed enough, and overloaded endpoints
-// stayed slow. The shed fraction follows the load at once, between nothing and twice the base shed fraction.
-// A sidecar that has not shed lately rejects nothing, as its few requests may be in flight together by
-// chance.
+// Guards against queues that grow for seconds because busy sidecars shed too little at first. Endpoints that
+// were overloaded stay slow. The shed fraction must follow the load at once, between 0 and twice the base
+// shed fraction. A sidecar that has not shed lately must reject nothing, as its few requests may be in flight
+// together by chance.
 func TestSheddingFollowsLoadImmediately(t *testing.T) {
 	for _, c := range []struct {
 		baseFraction float64
-		overload     float64 // of the objective, beyond what responses may take
-		minRejected  float64 // fraction
-		maxRejected  float64
+		overload     float64 // latency beyond the allowed one, as a fraction of the objective
+		minRejected  float64 // fraction of the requests
+		maxRejected  float64 // fraction of the requests
 	}{
 		{baseFraction: 0, overload: 0.5, minRejected: 0, maxRejected: 0.1},
 		{baseFraction: 0.4, overload: 0, minRejected: 0.3, maxRejected: 0.5},
@@ -202,8 +204,8 @@
 	}
 }
 
-// Of two tenants with equal quotas, the one with three times the traffic loses what is beyond its quota. With
-// equal traffic both lose the same.
+// If one of two tenants with equal quotas sends three times as much traffic as the other, its requests beyond
+// the quota are rejected first. With equal traffic the same fraction of both is rejected.
 func TestTenantsOverQuotaAreShedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{QuotaShare: 0.5}, {QuotaShare: 0.5}}
@@ -219,9 +221,9 @@
 	}
 }
 
-// Incident: the class of the lowest priority weight was rejected wholly although the worst-served class
-// matters much in the goal. With that goal the classes are served about alike; without it the class of the
-// lowest priority weight is shed first.
+// Guards against rejecting all requests of the class with the lowest priority weight although the goal gives
+// the worst-served class a high weight. With such a goal all classes must be served about equally. With a
+// goal of the overall service level alone, the class of the lowest priority weight must be shed first.
 func TestGoalOfTheWorstClassKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
 	arrivals := []arrival{{class: idempotentClass}, {class: nonIdempotentClass}}
@@ -241,7 +243,7 @@
 	}
 }
 
-// A tenant over its quota is not starved where the worst-served tenant matters in the goal.
+// A tenant over its quota is still served if the goal gives the worst-served tenant a high weight.
 func TestGoalOfTheWorstTenantKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{QuotaShare: 0.8}, {QuotaShare: 0.2}}
@@ -260,8 +262,8 @@
 	}
 }
 
-// Incident: half of the fleet was gone, and clients' retries that came too late to be of value took the
-// capacity that was left.
+// Guards against clients' retries that take up scarce capacity although they come too late to be of value,
+// for example after half of the fleet has failed.
 func TestLateClientRetriesAreShedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].LateWeight = 0.3
@@ -270,10 +272,10 @@
 		timeout      float64
 		rejected     bool
 	}{
-		{baseFraction: 0.5, timeout: 1000, rejected: true},   // 500 ms old, the objective of 300 has passed
-		{baseFraction: 0.2, timeout: 1000, rejected: false},  // below the late weight of the class
-		{baseFraction: 0.5, timeout: 1300, rejected: false},  // 200 ms old, it can still be in time
-		{baseFraction: 0.99, timeout: 1500, rejected: false}, // not a retry
+		{baseFraction: 0.5, timeout: 1000, rejected: true},   // retry after 500 ms: past the 300 ms objective
+		{baseFraction: 0.2, timeout: 1000, rejected: false},  // retry, but shedding below the late weight
+		{baseFraction: 0.5, timeout: 1300, rejected: false},  // retry after 200 ms: it can meet the objective
+		{baseFraction: 0.99, timeout: 1500, rejected: false}, // first request: it has the whole timeout
 	} {
 		h := newHarness(t, cfg, newEndpoints(4)...)
 		h.request(idempotentClass)
@@ -297,8 +299,8 @@
 	}
 }
 
-// Where clients mark retries, only a retry can count as late. Incident: a single retry with a long timeout
-// made the sidecar reject all unmarked requests after it.
+// If clients mark their retries, only a marked retry may count as late. Guards against a failure in which a
+// single retry with a long timeout made the sidecar reject all later first requests.
 func TestLongClientRetry(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ClientsMarkRetries = true
@@ -316,10 +318,10 @@
 		rejected bool
 	}{
 		{timeout: 700, isRetry: false, rejected: false},
-		{timeout: 650, isRetry: false, rejected: false}, // it only was slow to arrive here
-		{timeout: 700, isRetry: true, rejected: false},  // perhaps sent right after the first request
-		{timeout: 1300, isRetry: true, rejected: false}, // 200 ms old
-		{timeout: 600, isRetry: true, rejected: true},   // 900 ms old
+		{timeout: 650, isRetry: false, rejected: false}, // a first request that reached the sidecar late
+		{timeout: 700, isRetry: true, rejected: false},  // possibly sent right after the first request
+		{timeout: 1300, isRetry: true, rejected: false}, // sent after 200 ms
+		{timeout: 600, isRetry: true, rejected: true},   // sent after 900 ms
 	} {
 		if actions := send(c.timeout, c.isRetry); hasAction(actions, Reject) != c.rejected {
 			t.Errorf("%+v: got actions %+v", c, actions)
@@ -327,9 +329,9 @@
 	}
 }
 
-// Incident: traffic grew sevenfold within seconds on an enlarged fleet. Responses stayed fast, but the
-// attempts in flight were compared with an earlier, lower rate of responses, and half of the load was
-// rejected.
+// Guards against shedding when traffic grows fast while responses stay fast. When traffic grew sevenfold
+// within seconds on an enlarged fleet, the attempts in flight were divided by an outdated, lower response
+// rate, and half of the load was rejected.
 func TestFastGrowthIsNoOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(12)...)
 	var inFlight []RequestID
@@ -353,8 +355,8 @@
 	}
 }
 
-// An idempotent request that failed after its latency objective is retried if a late response still has
-// value. It used to be rejected in any case.
+// An idempotent request whose attempt failed after its latency objective is retried if a late response still
+// has value. Guards against rejecting every such request.
 func TestLateResponsesOfValueAreAwaited(t *testing.T) {
 	for lateWeight, retried := range map[float64]bool{0: false, 0.5: true} {
 		cfg := baseConfig()
@@ -369,8 +371,8 @@
 	}
 }
 
-// Incident: the few requests of a quiet sidecar that were in flight together by chance were taken for
-// overload, and some were rejected. While responses are fast nothing is shed, whatever is in flight.
+// Guards against taking the few requests that a sidecar with little traffic has in flight together by chance
+// for overload. While responses are fast, nothing may be shed, however many requests are in flight.
 func TestFastResponsesShedNothing(t *testing.T) {
 	for latency, wantRejected := range map[float64]bool{30: false, 290: true} {
 		h := newHarness(t, baseConfig(), newEndpoints(4)...)
@@ -391,8 +393,9 @@
 	}
 }
 
-// Incident: a sidecar of few requests kept sending until endpoints that stay slow once overloaded had choked.
-// Within some objectives it must raise its base shed fraction as much as a busy one does.
+// Guards against a sidecar with few requests that sheds too late: it kept sending until endpoints were
+// overloaded, and such endpoints stay slow. Each of its requests must raise the base shed fraction by more,
+// so that the fraction rises within a few latency objectives as it does on a busy sidecar.
 func TestLowTrafficFollowsLoad(t *testing.T) {
 	const lowTrafficGap, highTrafficGap = 300, 3 // ms between requests
 	increase := map[float64]float64{}            // of the base shed fraction with one request
@@ -412,8 +415,8 @@
 	}
 }
 
-// Incident: no response came before the clients' timeouts, so only the few fast responses counted and the
-// latency looked good.
+// Guards against a mean latency that looks good in overload because most attempts time out and only the few
+// fast responses count.
 func TestTimeoutsCountAsSlowResponses(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for range 10 {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -3,31 +3,56 @@
 import "math"
 
 const (
-	initialConcurrencyLimit = 0.7  // requests in flight, per capacity, above which load is shed at first
-	fullShedLoad            = 1.8  // at which all is shed that may be, at the initial limit
-	atCapacityLoad          = 1.3  // at one endpoint above which it is passed over, at the initial limit
-	minAtCapacity           = 2    // requests that are never too many at one endpoint
-	fleetShareSamples       = 50   // requests over which this sidecar's part of the fleet's load is taken
-	latencyTolerance        = 0.03 // of the objective above the baseline up to which responses are fast
-	minLimitUsage           = 0.75 // of the limit that must be in use to raise it
-	limitIncreaseRate       = 0.5  // per second, while responses are fast
-	limitDecreaseRate       = 0.9  // per second, while they are slow
-	limitFloorFactor        = 1.2  // of what lately was in service, under which the limit does not fall
-	peakServiceDecayTime    = 3e4  // ms in which that is forgotten
-	minCapacity             = 1e-3 // keeps capacities above zero
+	// initialConcurrencyLimit is the concurrency limit of a sidecar that starts: the requests in flight, per
+	// unit of nominal capacity, above which load is shed.
+	initialConcurrencyLimit = 0.7
+	// fullShedLoad is the number of requests in flight, per unit of nominal capacity, at which the whole load
+	// (up to maxShedFraction) is shed. It holds at the initial concurrency limit and scales with the limit.
+	fullShedLoad = 1.8
+	// atCapacityLoad is the number of requests in flight, per unit of nominal capacity, above which a single
+	// endpoint is at capacity. It holds at the initial concurrency limit and scales with the limit.
+	atCapacityLoad = 1.3
+	// minRequestsAtCapacity is the number of requests that any single endpoint may have in flight, however
+	// small its capacity is, before it is at capacity.
+	minRequestsAtCapacity = 2
+	// fleetShareSamples is the number of arriving requests over which this sidecar's and the fleet's requests
+	// in flight are averaged (exponential moving averages). Their ratio is this sidecar's share of the load.
+	fleetShareSamples = 50
+	// latencyTolerance is the fraction of the span between the baseline latency and the latency objective by
+	// which the mean latency may exceed the baseline while responses are fast. Above twice this fraction they
+	// are slow.
+	latencyTolerance = 0.03
+	// minLimitUsage is the fraction of the concurrency limit that must be in use for the limit to be raised.
+	minLimitUsage = 0.75
+	// limitIncreaseRate is the exponential growth rate of the concurrency limit, per second, while responses
+	// are fast.
+	limitIncreaseRate = 0.5
+	// limitDecreaseRate is the exponential decay rate of the concurrency limit, per second, while responses
+	// are slow.
+	limitDecreaseRate = 0.9
+	// limitFloorFactor is the multiple of the recent peak of requests in service (not queued), per unit of
+	// nominal capacity, below which the concurrency limit does not fall. The initial concurrency limit is an
+	// upper bound on this floor.
+	limitFloorFactor = 1.2
+	// peakServiceDecayTime is the time constant, in ms, of the exponential decay of the recent peak of
+	// requests in service (not queued).
+	peakServiceDecayTime = 3e4
+	// minLoadDivisor keeps divisors that are sums of nominal capacities or numbers of requests in flight
+	// above zero.
+	minLoadDivisor = 1e-3
 )
 
-// concurrencyLimiter learns how many requests endpoints can hold for their nominal capacities, from the
-// responses of all sidecars: an adaptive concurrency limit.
+// concurrencyLimiter is an adaptive concurrency limit. From the responses of all sidecars it learns how many
+// requests in flight endpoints can hold per unit of their nominal capacity.
 type concurrencyLimiter struct {
-	limit         float64
+	limit         float64 // requests in flight per unit of nominal capacity
 	startedAt     float64
 	updatedAt     float64
-	utilization   float64 // recent mean of the requests in flight, per capacity
-	peakInService float64 // the most of it that lately was in service at once
+	utilization   float64 // recent mean of the fleet's requests in flight, per unit of nominal capacity
+	peakInService float64 // recent peak of the requests in service, per unit of nominal capacity
 	latency       fleetLatency
-	ownInFlight   float64 // mean of this sidecar's requests in flight while there was gossip
-	fleetInFlight float64 // and of those of all sidecars
+	ownInFlight   float64 // mean of this sidecar's requests in flight while gossip was fresh
+	fleetInFlight float64 // mean of all sidecars' requests in flight while gossip was fresh
 }
 
 func newConcurrencyLimiter() concurrencyLimiter {
@@ -39,31 +64,35 @@
 
 func (l *concurrencyLimiter) start(now float64) { l.startedAt, l.updatedAt = now, now }
 
-// scaled returns a load that holds at the initial limit, scaled to the present one.
-func (l *concurrencyLimiter) scaled(load float64) float64 {
+// scaleToLimit converts a load that holds at the initial concurrency limit to the present limit.
+func (l *concurrencyLimiter) scaleToLimit(load float64) float64 {
 	return load * l.limit / initialConcurrencyLimit
 }
 
-// recordShare takes in how much of the fleet's load is this sidecar's.
-func (l *concurrencyLimiter) recordShare(load fleetLoad) {
+// recordFleetShare updates the means of this sidecar's and of the fleet's requests in flight.
+func (l *concurrencyLimiter) recordFleetShare(load fleetLoad) {
 	l.ownInFlight += (load.own - l.ownInFlight) / fleetShareSamples
 	l.fleetInFlight += (load.total - l.fleetInFlight) / fleetShareSamples
 }
 
-// extrapolate estimates the fleet's requests in flight from this sidecar's, less what meets by chance.
-func (l *concurrencyLimiter) extrapolate(own float64) float64 {
-	return math.Max(0, own-math.Sqrt(own)) * l.fleetInFlight / math.Max(l.ownInFlight, minCapacity)
+// estimateFleetInFlight estimates the fleet's requests in flight from this sidecar's number and its share of
+// the load. One standard deviation is subtracted, as some requests are in flight together by chance.
+func (l *concurrencyLimiter) estimateFleetInFlight(own float64) float64 {
+	return math.Max(0, own-math.Sqrt(own)) * l.fleetInFlight / math.Max(l.ownInFlight, minLoadDivisor)
 }
 
-// adjust moves the limit by the latency of all sidecars' responses. While they take hardly longer than the
-// baseline, more requests do no harm; then endpoints queue. By Little's law what they hold, times the
-// baseline over the present mean latency, is in service: so much they can do, and if responses are slow at
-// less, something else than load makes them so. Overloaded endpoints do less, so that floor is bounded by the
-// initial limit.
-func (l *concurrencyLimiter) adjust(elapsed, utilization float64) {
+// adjustLimit adapts the limit to the mean latency of all sidecars' responses. While the mean is hardly above
+// the baseline latency, more requests do no harm and the limit may rise. When the mean is well above the
+// baseline, requests queue at the endpoints and the limit falls.
+//
+// By Little's law the utilization times the ratio of baseline to mean latency is the load in service, without
+// the queues. Endpoints have been seen to serve that much, so if responses are slow at a lower load, the
+// cause is not load, and the peak of the load in service is a floor for the limit. Overloaded endpoints serve
+// less than before, so the floor is at most the initial limit.
+func (l *concurrencyLimiter) adjustLimit(elapsed, utilization float64) {
 	mean := l.latency.sum / l.latency.samples
-	fewByChance := 1 + 1/math.Sqrt(l.latency.samples)
-	l.latency.baseline = clamp(mean*fewByChance, 1.0/latencyUnitsPerObjective, l.latency.baseline)
+	smallSampleFactor := 1 + 1/math.Sqrt(l.latency.samples) // few responses may be fast by chance
+	l.latency.baseline = clamp(mean*smallSampleFactor, 1.0/latencyUnitsPerObjective, l.latency.baseline)
 	baseline := l.latency.baseline
 	l.utilization += (utilization - l.utilization) * -math.Expm1(-elapsed/latencyDecayTime)
 	inService := l.utilization * baseline / math.Max(mean, baseline)
@@ -79,7 +108,7 @@
 	}
 }
 
-// updateConcurrencyLimit adjusts the limit if gossip brought enough samples.
+// updateConcurrencyLimit adjusts the limit if gossip is fresh and there are enough recent responses.
 func (b *Balancer) updateConcurrencyLimit() {
 	elapsed := b.now - b.concurrency.updatedAt
 	b.concurrency.updatedAt = b.now
@@ -88,36 +117,38 @@
 		return
 	}
 	load := b.fleetLoad()
-	b.concurrency.adjust(elapsed, load.total/load.capacity)
+	b.concurrency.adjustLimit(elapsed, load.total/load.capacity)
 }
 
-// fleetLoad is what is in flight at the endpoints in use, and what these can hold.
+// fleetLoad is the number of requests in flight at the endpoints in use, and the capacity of these endpoints.
 type fleetLoad struct {
-	own      float64 // requests of this sidecar
-	total    float64 // and of all sidecars
-	capacity float64
+	own      float64 // requests in flight of this sidecar
+	total    float64 // requests in flight of all sidecars
+	capacity float64 // sum of the nominal capacities, lowered for endpoints that warm up
 }
 
-// fleetLoad leaves out endpoints that get no requests. Those that hang hold ever more, so there is a bound to
-// what each counts.
+// fleetLoad sums up the endpoints in this sidecar's gossip scope. It leaves out endpoints that get no
+// requests: those that are not ready, ejected or failing. The requests counted at each endpoint are bounded,
+// as they pile up at an endpoint that hangs.
 func (b *Balancer) fleetLoad() fleetLoad {
-	load := fleetLoad{capacity: minCapacity}
+	load := fleetLoad{capacity: minLoadDivisor}
 	for _, e := range b.gossipScope() {
 		if e.Lifecycle != Ready || e.outlier.ejected(b.now) || e.evidence.failing(b.now) {
 			continue
 		}
 		capacity := b.presentCapacity(e)
 		load.own += float64(e.inFlight)
-		load.total += math.Min(e.fleetInFlight(), b.concurrency.scaled(2*fullShedLoad)*capacity)
+		load.total += math.Min(e.fleetInFlight(), b.concurrency.scaleToLimit(2*fullShedLoad)*capacity)
 		load.capacity += capacity
 	}
 	return load
 }
 
-// fleetInFlight is how many requests all sidecars have at the endpoint, as far as gossip says.
+// fleetInFlight returns the number of requests that all sidecars have in flight at the endpoint, as far as
+// known from gossip.
 func (e *endpoint) fleetInFlight() float64 { return e.gossip.inFlightFromPeers + float64(e.inFlight) }
 
-// presentCapacity is an endpoint's nominal capacity, lowered while it warms up.
+// presentCapacity returns an endpoint's nominal capacity, lowered while the endpoint warms up.
 func (b *Balancer) presentCapacity(e *endpoint) float64 {
 	if b.slowStart.warmingUp(e, b.now) {
 		return e.NominalCapacity * b.slowStart.capacityFraction(e, b.now)
@@ -125,23 +156,23 @@
 	return e.NominalCapacity
 }
 
-// atCapacity reports whether all sidecars together have so much at the endpoint that more would wait for too
-// long. A failing endpoint counts as full, though it may be empty.
+// atCapacity reports whether all sidecars together have so many requests in flight at the endpoint that one
+// more would wait too long. A failing endpoint is always at capacity, although it may have nothing in flight.
 func (b *Balancer) atCapacity(e *endpoint) bool {
-	most := math.Max(minAtCapacity, b.concurrency.scaled(atCapacityLoad)*b.presentCapacity(e))
-	return e.evidence.failing(b.now) || e.fleetInFlight()+1 > most
+	limit := math.Max(minRequestsAtCapacity, b.concurrency.scaleToLimit(atCapacityLoad)*b.presentCapacity(e))
+	return e.evidence.failing(b.now) || e.fleetInFlight()+1 > limit
 }
 
-// fleetShedFraction is the fraction of the load to shed by what all sidecars have in flight. Where gossip is
-// lost, the other sidecars are assumed to have grown as much as this one: its own responses show overload
-// only when the endpoints are too full already.
+// fleetShedFraction returns the fraction of the load to shed, from the requests that all sidecars have in
+// flight. When gossip is lost, the other sidecars' load is assumed to have grown as much as this sidecar's:
+// its own responses would show an overload only after the endpoints are overfull.
 func (b *Balancer) fleetShedFraction() float64 {
 	load := b.fleetLoad()
 	total := load.total
 	if b.gossip.lost(b.now) {
-		total = b.concurrency.extrapolate(load.own)
+		total = b.concurrency.estimateFleetInFlight(load.own)
 	} else {
-		b.concurrency.recordShare(load)
+		b.concurrency.recordFleetShare(load)
 	}
 	overload := initialConcurrencyLimit * (total/load.capacity/b.concurrency.limit - 1)
 	b.shedder.overload = overload
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newPeers returns sidecar 0 and sidecar 1 of a fleet that gossips.
+// newPeers returns harnesses of sidecar 0 and sidecar 1 of a fleet that sends gossip.
 func newPeers(t *testing.T, endpoints []Endpoint) (h, peer *harness) {
 	t.Helper()
 	h = newHarness(t, gossipConfig(0), endpoints...)
@@ -10,8 +10,8 @@
 	return h, peer
 }
 
-// Incident: each sidecar took endpoints that others filled for empty, until they choked. Requests of a peer
-// count until the peer takes them back, or until its gossip expires.
+// Guards against overloading endpoints that look empty to one sidecar but are full of the requests of others.
+// A peer's requests in flight must count until a later message replaces them or the peer's gossip expires.
 func TestEndpointsFilledByPeersAreSkipped(t *testing.T) {
 	for _, expired := range []bool{false, true} {
 		h, peer := newPeers(t, newEndpoints(8))
@@ -36,12 +36,12 @@
 	}
 }
 
-// Incident: a sidecar of few requests shed by its own few responses, up to all of its load and long after the
-// overload. It goes by the requests of the whole fleet: it sheds while endpoints are full, and nothing once
-// they are empty.
+// Guards against a sidecar with few requests that sheds by its own few responses, up to its whole load and
+// long after the overload. It must shed by the requests in flight of the whole fleet: while endpoints are
+// full, and not once they are empty.
 func TestSheddingFollowsFleetLoad(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
-	h.b.shedder.baseFraction = maxShedFraction // by its own responses it would shed all it may
+	h.b.shedder.baseFraction = maxShedFraction // by its own responses it would shed the maximum
 	h.b.latency.shortTerm = 2
 	rejectedWith := func(inFlight int) int {
 		peer.now += 10
@@ -68,16 +68,17 @@
 	}
 }
 
-// Incident: when gossip was lost in overload, each sidecar of a large fleet trusted the last sums and then
-// its own responses, which showed the overload only when the endpoints had choked. Its own requests in flight
-// show it sooner: it has far more of them than usual.
+// Guards against late shedding when gossip is lost in overload: the last known load of the fleet is outdated,
+// and a sidecar's own responses show the overload only after the endpoints are overloaded. Its own requests
+// in flight show it sooner, as there are far more of them than usual.
 func TestSheddingWithGossipLostGoesByOwnShare(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(40))
 	for _, e := range peer.b.endpoints[:12] {
-		e.inFlight = 1 // in all a third of the endpoints' capacity
+		e.inFlight = 1 // 12 requests at 40 endpoints of capacity 1: about a third
 	}
 	var inFlight []RequestID
-	// sendFour sends four requests, ends all but the last keep in flight, and counts the rejected ones.
+	// sendFour sends four requests, ends all attempts in flight but the last keep, and returns the number of
+	// rejected requests.
 	sendFour := func(keep int) (rejected int) {
 		h.now += 20
 		for range 4 {
@@ -96,7 +97,7 @@
 		peer.now = h.now + 20
 		h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
 		if sendFour(1) > 0 {
-			t.Fatal("a load within the capacity of the endpoints is shed")
+			t.Fatal("requests were rejected at a load within the capacity of the endpoints")
 		}
 	}
 	h.now += gossipTimeout
@@ -104,7 +105,7 @@
 	for range 10 {
 		usual += sendFour(1)
 	}
-	for range 10 { // responses take longer, and none of them is late yet
+	for range 10 { // more requests stay in flight, and no response is late yet
 		overloaded += sendFour(8)
 	}
 	if usual > 0 || overloaded < 5 {
@@ -113,8 +114,8 @@
 	}
 }
 
-// Incident: endpoints that fail at once have nothing in flight. They passed for empty ones, drew the requests
-// that were not sent elsewhere, and counted as capacity while load was shed.
+// Guards against taking endpoints that fail at once for empty ones, as they have nothing in flight. Such
+// endpoints drew the requests that were not sent to others, and counted as capacity while load was shed.
 func TestFailingEndpointsAddNoCapacity(t *testing.T) {
 	h := newHarness(t, gossipConfig(0), newEndpoints(4)...)
 	peer := newHarness(t, gossipConfig(2), newEndpoints(4)...)
@@ -135,13 +136,13 @@
 		id, actions := h.request(nonIdempotentClass)
 		target, sent := attemptTarget(actions)
 		if sent && target <= 2 {
-			t.Fatalf("attempt at endpoint %d, which fails, want 3 or 4", target)
+			t.Fatalf("attempt at endpoint %d, which is failing, want 3 or 4", target)
 		}
 		if sent {
 			h.finishAttempt(id, 0, OK, 10)
 		}
 	}
-	for _, e := range h.b.endpoints[:2] { // they respond again
+	for _, e := range h.b.endpoints[:2] { // these endpoints have recovered
 		e.evidence = outlierEvidence{}
 	}
 	if noneFailing := h.b.fleetShedFraction(); noneFailing >= halfFailing {
@@ -150,9 +151,9 @@
 	}
 }
 
-// The concurrency limit is relative to nominal capacity, whose scale each deployment chooses. Where so much
-// is in flight that load would be shed, but responses stay fast, less and less is shed; where responses are
-// slow, shedding goes on.
+// The concurrency limit is relative to nominal capacity, whose scale each deployment chooses, so it must
+// adapt. If the requests in flight exceed the limit but responses stay fast, shedding must decrease. If
+// responses are slow, shedding must go on.
 func TestFastResponsesRaiseTheConcurrencyLimit(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		h, peer := newPeers(t, newEndpoints(4))
@@ -162,12 +163,12 @@
 		if slow {
 			latency *= 4
 		}
-		var rejected [2]int // of the first and of the second 200 requests
+		var rejected [2]int // number of the first 200 and of the last 200 requests
 		for i := range 400 {
 			h.now += 10
 			peer.now += 10
 			for _, e := range peer.b.endpoints {
-				e.inFlight = 1 + i%2 // only changes are gossiped
+				e.inFlight = 1 + i%2 // gossip contains only changes
 			}
 			peer.b.concurrency.latency.baseline = 0.2
 			peer.b.concurrency.latency.recordOwn(peer.now, latency/objective)
@@ -187,17 +188,17 @@
 	}
 }
 
-// loadByPeer simulates a time in which peer 1 has a number of requests in flight at each endpoint and gets
-// responses of the given latency, a fraction of their objective. The peer gossips both; this sidecar has no
-// requests of its own.
-func (h *harness) loadByPeer(peer *harness, inFlight int, latency, duration float64) {
+// simulatePeerLoad simulates a period of the given duration in ms. Peer 1 has the given number of requests in
+// flight at each endpoint, gets responses of the given latency (a fraction of the latency objective) and
+// sends gossip about both. This sidecar has no requests of its own.
+func (h *harness) simulatePeerLoad(peer *harness, inFlight int, latency, duration float64) {
 	h.t.Helper()
 	for end := h.now + duration; h.now < end; {
 		h.now += 50
 		peer.now, peer.b.now = h.now, h.now
 		for _, e := range peer.b.endpoints {
 			e.inFlight = inFlight
-			e.gossip.announcedInFlight = inFlight + 1 // only changes are gossiped
+			e.gossip.announcedInFlight = inFlight + 1 // gossip contains only changes
 		}
 		for range 10 {
 			peer.b.concurrency.latency.recordOwn(h.now, latency)
@@ -207,24 +208,24 @@
 	}
 }
 
-// Incident: a sidecar with few requests needed minutes to learn alone how much endpoints can do. It learns
-// from the latency of the whole fleet: the limit rises within seconds while much is in flight and responses
-// stay fast, and falls within a second or two once they are slow.
+// Guards against a sidecar with few requests that needs minutes to learn how much load endpoints can serve.
+// It must learn from the latency of the whole fleet: the limit must rise within seconds while many requests
+// are in flight and responses stay fast, and fall within one or two seconds once responses are slow.
 func TestConcurrencyLimitFollowsFleetLatency(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
-	h.loadByPeer(peer, 1, 0.1, 2000)
+	h.simulatePeerLoad(peer, 1, 0.1, 2000)
 	lowLoad := h.b.concurrency.limit
-	h.loadByPeer(peer, 4, 0.1, 4000)
+	h.simulatePeerLoad(peer, 4, 0.1, 4000)
 	fastResponses := h.b.concurrency.limit
-	h.loadByPeer(peer, 10, 0.3, 1000)
+	h.simulatePeerLoad(peer, 10, 0.3, 1000)
 	slowResponses := h.b.concurrency.limit
-	h.loadByPeer(peer, 10, 0.3, 2000) // choked endpoints do far less than before, which is no floor
-	choked := h.b.concurrency.limit
+	h.simulatePeerLoad(peer, 10, 0.3, 2000) // overloaded endpoints serve less, which is no floor
+	overloaded := h.b.concurrency.limit
 	if lowLoad > 1.5 || fastResponses < 5 || slowResponses > 0.6*fastResponses ||
-		choked > initialConcurrencyLimit {
+		overloaded > initialConcurrencyLimit {
 		t.Errorf("limit %.2f at low load, want at most 1.5; %.2f with fast responses, want at least 5; "+
 			"%.2f after 1 s of slow ones, want at most %.2f; %.2f after 3 s, want at most %.2f",
-			lowLoad, fastResponses, slowResponses, 0.6*fastResponses, choked, initialConcurrencyLimit)
+			lowLoad, fastResponses, slowResponses, 0.6*fastResponses, overloaded, initialConcurrencyLimit)
 	}
 	latency := &h.b.concurrency.latency
 	if mean := latency.sum / latency.samples; latency.baseline > 0.12 || mean < 0.2 {
@@ -233,20 +234,20 @@
 	}
 }
 
-// Where nominal capacities promise more than endpoints can do, the limit falls below its initial value. Where
-// endpoints were seen to do the present load, and something else makes responses slow, it does not.
+// If endpoints can serve less than their nominal capacities say, the limit falls below its initial value. If
+// endpoints have served the present load before and responses are slow for another reason, it does not.
 func TestConcurrencyLimitIgnoresLatencyWithoutLoad(t *testing.T) {
 	overratedEndpoints := newEndpoints(4)
 	for i := range overratedEndpoints {
 		overratedEndpoints[i].NominalCapacity = 10
 	}
 	h, peer := newPeers(t, overratedEndpoints)
-	h.loadByPeer(peer, 2, 0.1, 3000)
-	h.loadByPeer(peer, 6, 0.3, 20000) // two in service, by Little's law
+	h.simulatePeerLoad(peer, 2, 0.1, 3000)
+	h.simulatePeerLoad(peer, 6, 0.3, 20000) // by Little's law two of the six are in service
 	overrated := h.b.concurrency.limit
 	h, peer = newPeers(t, newEndpoints(4))
-	h.loadByPeer(peer, 1, 0.1, 3000)
-	h.loadByPeer(peer, 1, 0.2, 20000)
+	h.simulatePeerLoad(peer, 1, 0.1, 3000)
+	h.simulatePeerLoad(peer, 1, 0.2, 20000)
 	sameLoad := h.b.concurrency.limit
 	if overrated > 0.45 || overrated < 0.2 || sameLoad < initialConcurrencyLimit {
 		t.Errorf("limit %.2f at a fifth of the nominal capacity, want 0.2 to 0.45; "+
@@ -255,16 +256,17 @@
 	}
 }
 
-// A restarted sidecar has never seen how fast responses can be. It adopts the baseline of its peers, so that
-// overload does not pass for the usual latency; but a single message may hardly change it.
+// A restarted sidecar has not yet seen how fast responses can be. It must adopt the baseline latency of its
+// peers, so that it does not take the latency in overload for normal. A single message must hardly change the
+// baseline.
 func TestRestartedSidecarAdoptsPeerBaseline(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
 	peer.b.concurrency.latency.baseline = 0.1
-	h.loadByPeer(peer, 1, 0.25, 50)
+	h.simulatePeerLoad(peer, 1, 0.25, 50)
 	if baseline := h.b.concurrency.latency.baseline; baseline < initialBaseline*0.9 {
 		t.Errorf("baseline %.2f after one message, want at least %.2f", baseline, initialBaseline*0.9)
 	}
-	h.loadByPeer(peer, 1, 0.25, baselineAdoptionTime)
+	h.simulatePeerLoad(peer, 1, 0.25, baselineAdoptionTime)
 	before := h.b.concurrency.latency.baseline
 	if before > 0.2 {
 		t.Errorf("baseline %.2f after %d ms of gossip, want at most 0.2", before, baselineAdoptionTime)
@@ -274,16 +276,17 @@
 		h.b.concurrency.latency.merge(h.b.now, latencyReport{baseline: 1}, justStarted)
 	}
 	if after := h.b.concurrency.latency.baseline; after < before {
-		t.Errorf("baseline went from %.2f to %.2f by gossip long after the start, want it no lower",
+		t.Errorf("baseline went from %.2f to %.2f by gossip long after the start, want it not to fall",
 			before, after)
 	}
 }
 
-// Responses of zero, tiny or long latency leave the limit and the baseline usable.
+// The limit and the baseline stay within a usable range if responses have a latency of zero, a tiny one or a
+// long one.
 func TestZeroLatencyResponses(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
 	for _, latency := range []float64{0, 2, 0, 1e-9, 2} {
-		h.loadByPeer(peer, 2, latency, 2000)
+		h.simulatePeerLoad(peer, 2, latency, 2000)
 	}
 	limit, baseline := h.b.concurrency.limit, h.b.concurrency.latency.baseline
 	if !(limit > 0.1 && limit < 1000) || !(baseline > 0) {
--- a/balance/demand.go
+++ b/balance/demand.go
@@ -3,14 +3,18 @@
 import "math"
 
 const (
-	classLatencySamples = 300  // responses over which a class's latencies are averaged
-	minDemand           = 1e-9 // keeps the total value of all requests above zero
+	// classLatencySamples is the number of responses over which the latency of a class, and its deviation
+	// from the mean, are averaged.
+	classLatencySamples = 300
+	// minTotalValue is added to the sum of the priority weights of all requests, so that a division by the
+	// sum never divides by zero.
+	minTotalValue = 1e-9
 )
 
-// demandTracker follows what classes and tenants ask for and what they are served.
+// demandTracker counts, by class and by tenant, the requests that arrived and those that were served.
 type demandTracker struct {
-	classes []classStats
-	tenants []serviceTally // the last is for requests without a tenant
+	classes []classStats   // by position in Config.Classes
+	tenants []serviceTally // by position in Config.Tenants; the last one is for requests without a tenant
 }
 
 func newDemandTracker(cfg *Config) demandTracker {
@@ -31,7 +35,7 @@
 	return d
 }
 
-// tenant returns the tally of a tenant; any unknown one is no tenant.
+// tenant returns the tally of a tenant. An unknown index gives the tally of requests without a tenant.
 func (d *demandTracker) tenant(index int) *serviceTally {
 	if index < 0 || index >= len(d.tenants) {
 		index = len(d.tenants) - 1
@@ -39,12 +43,12 @@
 	return &d.tenants[index]
 }
 
-// serviceTally counts the requests of a class or tenant, and those served within their objective. Both counts
-// start at 1, so that neither is ever 0.
+// serviceTally counts the requests of a class or tenant, and those that were served within their latency
+// objective. Both counts start at 1, so that a division by a count never divides by zero.
 type serviceTally struct {
 	requested  float64
 	served     float64
-	quotaShare float64 // of a tenant; 0: no quota
+	quotaShare float64 // a tenant's fraction of the service; 0: no quota
 }
 
 func newServiceTally() serviceTally { return serviceTally{requested: 1, served: 1} }
@@ -53,13 +57,13 @@
 	return t.served*other.requested < other.served*t.requested
 }
 
-// classStats follows how long responses of a class take, and counts its requests.
+// classStats holds the counts of a class's requests and the latency of its responses.
 type classStats struct {
 	serviceTally
-	samples        float64
-	meanLatency    float64
-	meanDeviation  float64
-	longestTimeout float64 // of clients' first tries
+	samples        float64 // responses that the means are taken over, up to classLatencySamples
+	meanLatency    float64 // ms
+	meanDeviation  float64 // mean absolute deviation from the mean latency, in ms
+	longestTimeout float64 // of clients' first requests, in ms
 	priorityWeight float64
 }
 
@@ -69,16 +73,17 @@
 	c.meanDeviation += (math.Abs(latency-c.meanLatency) - c.meanDeviation) / c.samples
 }
 
-// demandSummary is what all requests of this sidecar ask for, and who is served the least part of it.
+// demandSummary holds the totals of this sidecar's requests, and the class and the tenant of which the
+// smallest fraction of requests was served.
 type demandSummary struct {
 	requests    float64
-	value       float64
+	value       float64 // sum of the priority weights of all requests
 	worstClass  *classStats
 	worstTenant *serviceTally
 }
 
 func (d *demandTracker) summarize() demandSummary {
-	sum := demandSummary{value: minDemand, worstClass: &d.classes[0], worstTenant: &d.tenants[0]}
+	sum := demandSummary{value: minTotalValue, worstClass: &d.classes[0], worstTenant: &d.tenants[0]}
 	for i := range d.classes {
 		class := &d.classes[i]
 		sum.requests += class.requested
--- a/balance/fleet_latency.go
+++ b/balance/fleet_latency.go
@@ -3,49 +3,63 @@
 import "math"
 
 const (
-	latencyDecayTime         = 400  // ms over which the mean latency of all sidecars' responses is taken
-	minLatencySamples        = 20   // responses in it that are enough to go by
-	maxLatencyRatio          = 2.5  // baselines that one response counts at most: a slow endpoint is no load
-	baselineAdoptionTime     = 5000 // ms in which a new sidecar adopts its peers' baseline
-	baselineAdoptionSamples  = 50   // messages over which it does
-	latencyUnitsPerObjective = 100  // resolution of latencies in gossip
+	// latencyDecayTime is the time constant, in ms, of the exponential moving averages of the latency of all
+	// sidecars' responses and of their requests in flight per unit of nominal capacity.
+	latencyDecayTime = 400
+	// minLatencySamples is the decayed number of recent responses of all sidecars that is needed to adjust
+	// the concurrency limit by their mean latency.
+	minLatencySamples = 20
+	// maxLatencyInBaselines is the upper bound, in baseline latencies, on the latency with which a response
+	// counts in the mean of the fleet: a single slow endpoint is no sign of load.
+	maxLatencyInBaselines = 2.5
+	// baselineAdoptionTime is the time after its start, in ms, during which a sidecar moves its baseline
+	// latency (the smallest mean latency seen) towards that of its peers.
+	baselineAdoptionTime = 5000
+	// baselineAdoptionSamples is the number of gossip messages over which a sidecar that has just started
+	// averages the baseline latency (the smallest mean latency seen) of its peers.
+	baselineAdoptionSamples = 50
+	// latencyUnitsPerObjective is the resolution of latencies in gossip messages: the number of units in one
+	// latency objective.
+	latencyUnitsPerObjective = 100
 )
 
-// fleetLatency is the recent mean latency of all sidecars' responses, as a fraction of their objective, and
-// the least that it was. It also gathers this sidecar's own responses for its next gossip message.
+// fleetLatency tracks the recent mean latency of all sidecars' responses and the baseline latency. It also
+// collects this sidecar's own responses for its next gossip message. All latencies are fractions of the
+// latency objective.
 type fleetLatency struct {
-	samples    float64 // decayed
-	sum        float64 // of their latencies, decayed
+	samples    float64 // number of responses, decayed
+	sum        float64 // sum of the latencies of these responses, decayed
 	updatedAt  float64
-	baseline   float64
-	ownSamples float64 // since the last message
-	ownSum     float64
+	baseline   float64 // smallest mean so far
+	ownSamples float64 // number of this sidecar's responses since its last gossip message
+	ownSum     float64 // sum of the latencies of this sidecar's responses since its last gossip message
 }
 
-// latencyReport is the part of a gossip message on its sender's responses; latencies are in
-// latencyUnitsPerObjective.
+// latencyReport is the part of a gossip message that describes the sender's responses. Its mean and baseline
+// are in units of which a latency objective has latencyUnitsPerObjective.
 type latencyReport struct{ samples, mean, baseline uint8 }
 
-// add takes in a number of responses by their mean latency.
+// add counts a number of responses with the given mean latency.
 func (l *fleetLatency) add(now, samples, mean float64) {
-	kept := math.Exp((l.updatedAt - now) / latencyDecayTime)
-	l.samples = l.samples*kept + samples
-	l.sum = l.sum*kept + samples*l.counted(mean)
+	decay := math.Exp((l.updatedAt - now) / latencyDecayTime)
+	l.samples = l.samples*decay + samples
+	l.sum = l.sum*decay + samples*l.limitLatency(mean)
 	l.updatedAt = now
 }
 
-// recordOwn takes in one response of this sidecar.
+// recordOwn counts one response of this sidecar.
 func (l *fleetLatency) recordOwn(now, latency float64) {
 	l.add(now, 1, latency)
 	l.ownSamples++
-	l.ownSum += l.counted(latency)
+	l.ownSum += l.limitLatency(latency)
 }
 
-func (l *fleetLatency) counted(latency float64) float64 {
-	return math.Min(latency, maxLatencyRatio*l.baseline)
+// limitLatency returns the latency, but at most maxLatencyInBaselines baseline latencies.
+func (l *fleetLatency) limitLatency(latency float64) float64 {
+	return math.Min(latency, maxLatencyInBaselines*l.baseline)
 }
 
-// takeReport returns the report on this sidecar's responses since the last call.
+// takeReport returns the report on this sidecar's responses since the last call and starts a new one.
 func (l *fleetLatency) takeReport() latencyReport {
 	report := latencyReport{
 		samples:  uint8(math.Min(l.ownSamples, math.MaxUint8)),
@@ -56,8 +70,8 @@
 	return report
 }
 
-// merge takes in another sidecar's report. One that has just started adopts the baseline, as it has yet to
-// see how fast responses can be.
+// merge counts the responses of another sidecar's report. A sidecar that has just started also moves its
+// baseline towards the reported one, as it has not yet seen how fast responses can be.
 func (l *fleetLatency) merge(now float64, report latencyReport, justStarted bool) {
 	if report.baseline > 0 && justStarted {
 		baseline := float64(report.baseline) / latencyUnitsPerObjective
@@ -66,6 +80,7 @@
 	l.add(now, float64(report.samples), float64(report.mean)/latencyUnitsPerObjective)
 }
 
+// latencyUnits converts a latency from a fraction of the latency objective to the units of gossip messages.
 func latencyUnits(latency float64) uint8 {
 	return uint8(math.Min(latency*latencyUnitsPerObjective+0.5, math.MaxUint8))
 }
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -3,26 +3,34 @@
 import "math"
 
 const (
-	initialBaseline  = 0.33 // of the objective: taken for the least mean latency until there are responses
-	meanSamples      = 50   // responses over which the mean latency is taken
-	shortTermSamples = 10   // and over which the short-term mean is taken
-	maxCountedRatio  = 2    // objectives that a single response counts at most
+	// initialBaseline is the baseline latency (the smallest mean latency seen) that is assumed until
+	// responses show a smaller one, as a fraction of the latency objective.
+	initialBaseline = 0.33
+	// meanLatencySamples is the number of this sidecar's responses over which the mean latency is taken.
+	meanLatencySamples = 50
+	// shortTermLatencySamples is the number of this sidecar's responses over which the short-term mean
+	// latency is taken (an exponential moving average).
+	shortTermLatencySamples = 10
+	// maxLatencyInObjectives is the upper bound, in latency objectives, on the latency with which a response
+	// counts in this sidecar's mean latencies.
+	maxLatencyInObjectives = 2
 )
 
-// latencyTracker follows how long this sidecar's responses take, as fractions of their latency objective.
+// latencyTracker follows the latency of this sidecar's responses. All latencies are fractions of the latency
+// objective.
 type latencyTracker struct {
-	samples   float64
+	samples   float64 // responses that the mean is taken over, up to meanLatencySamples
 	mean      float64
-	shortTerm float64 // the mean of the last few
-	baseline  float64 // the least mean so far
+	shortTerm float64 // mean over shortTermLatencySamples responses
+	baseline  float64 // smallest mean so far
 }
 
 func (t *latencyTracker) record(fraction float64) {
-	counted := math.Min(fraction, maxCountedRatio)
-	t.samples = math.Min(t.samples+1, meanSamples)
-	t.shortTerm += (counted - t.shortTerm) / shortTermSamples
+	counted := math.Min(fraction, maxLatencyInObjectives)
+	t.samples = math.Min(t.samples+1, meanLatencySamples)
+	t.shortTerm += (counted - t.shortTerm) / shortTermLatencySamples
 	t.mean += (counted - t.mean) / t.samples
-	if t.samples == meanSamples {
+	if t.samples == meanLatencySamples {
 		t.baseline = math.Min(t.baseline, t.mean)
 	}
 }
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// slowRateObjectives is the time constant of a rateMeter's slow count, in longest latency objectives.
-const slowRateObjectives = 8
+// slowDecayObjectives is the time constant of a rateMeter's slow count, in longest latency objectives.
+const slowDecayObjectives = 8
 
-// rateMeter estimates how many events come per millisecond from two exponentially decayed counts: a slow one
-// over some of the longest latency objectives, and a fast one over a single one.
+// rateMeter estimates the rate of events from two exponentially decayed counts. The time constant of the fast
+// count is the longest latency objective; that of the slow count is several of them.
 type rateMeter struct {
-	fastSpan  float64 // time constant of the fast count
-	startedAt float64 // when counting began
-	updatedAt float64
-	fastCount float64
-	slowCount float64
+	fastDecayTime float64 // time constant of the fast count, in ms
+	startedAt     float64 // when counting began
+	updatedAt     float64 // when the counts were last decayed
+	fastCount     float64
+	slowCount     float64
 }
 
-func newRateMeter(longestObjective float64) rateMeter { return rateMeter{fastSpan: longestObjective} }
+func newRateMeter(fastDecayTime float64) rateMeter { return rateMeter{fastDecayTime: fastDecayTime} }
 
 // add counts n events.
 func (m *rateMeter) add(now, n float64) {
@@ -24,19 +24,20 @@
 	m.slowCount += n
 }
 
-// rate returns the events per millisecond over the slow span, with some events assumed beside those counted.
-// Where the fast count is surely higher it returns that one, as traffic may grow quickly.
+// rate returns the events per millisecond by the slow count, to which the given number of assumed events is
+// added. If the fast count gives a higher rate even after two standard deviations are subtracted, that rate
+// is returned, as traffic may grow quickly.
 func (m *rateMeter) rate(now, assumed float64) float64 {
 	m.decay(now)
-	slowSpan := slowRateObjectives * m.fastSpan
-	observedPart := -math.Expm1((m.startedAt - now) / slowSpan)
-	slow := (m.slowCount + assumed) / slowSpan / math.Max(observedPart, 1e-3)
-	fast := (m.fastCount - 2*math.Sqrt(m.fastCount)) / m.fastSpan
+	slowDecayTime := slowDecayObjectives * m.fastDecayTime
+	observedFraction := -math.Expm1((m.startedAt - now) / slowDecayTime)
+	slow := (m.slowCount + assumed) / slowDecayTime / math.Max(observedFraction, 1e-3)
+	fast := (m.fastCount - 2*math.Sqrt(m.fastCount)) / m.fastDecayTime
 	return math.Max(slow, fast)
 }
 
 func (m *rateMeter) decay(now float64) {
-	m.fastCount *= math.Exp((m.updatedAt - now) / m.fastSpan)
-	m.slowCount *= math.Exp((m.updatedAt - now) / (slowRateObjectives * m.fastSpan))
+	m.fastCount *= math.Exp((m.updatedAt - now) / m.fastDecayTime)
+	m.slowCount *= math.Exp((m.updatedAt - now) / (slowDecayObjectives * m.fastDecayTime))
 	m.updatedAt = now
 }
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -2,12 +2,14 @@
 
 import "math"
 
-// boundedLoadFactor bounds the load of an endpoint: above this multiple of its share of the requests in
-// flight it is passed over.
+// boundedLoadFactor is the multiple of an endpoint's share of the requests in flight, rounded up to whole
+// requests, above which the endpoint counts as overloaded. The share is proportional to the weight. An
+// overloaded endpoint is picked only if all candidates are overloaded.
 const boundedLoadFactor = 0.7
 
-// pickEndpoint picks by smooth weighted round robin over the endpoints that may have the request. A retry
-// goes to the healthiest untried one, which is charged in the rotation too. It returns nil if there is none.
+// pickEndpoint picks an endpoint for the next attempt of a request by smooth weighted round robin. A retry
+// goes to the healthiest untried endpoint, whose current weight is lowered like that of any picked endpoint.
+// It returns nil if no endpoint may have the attempt now.
 func (b *Balancer) pickEndpoint(r *request) *endpoint {
 	pool, totalWeight := b.candidates(r)
 	load := b.boundedLoad(pool)
@@ -29,9 +31,10 @@
 	return best
 }
 
-// candidates weighs the endpoints of the subset for this pick. If no endpoint of the subset is eligible, as
-// an idempotency key stays in a cell, all endpoints are candidates; and if all are ejected, so are these, as
-// the cause is hardly theirs.
+// candidates assigns weights for this pick to the endpoints of the subset, and returns them with the sum of
+// their weights. If no endpoint of the subset is eligible (for example because the retry of an idempotency
+// key must stay in a cell), all endpoints are candidates. If all of these are ejected or unhealthy, they are
+// used nevertheless, as a fault at all of them is probably not their own.
 func (b *Balancer) candidates(r *request) (pool []*endpoint, totalWeight float64) {
 	pool = b.subset()
 	totalWeight = b.assignWeights(pool, r, false)
@@ -45,9 +48,9 @@
 	return pool, totalWeight
 }
 
-// assignWeights sets the weights of this pick, grows the current weights and returns the sum of weights. A
-// retry leaves the rotation where it is.
-func (b *Balancer) assignWeights(pool []*endpoint, r *request, evenUnhealthy bool) float64 {
+// assignWeights sets the weights of the endpoints for this pick, adds them to the current weights and returns
+// their sum. For a retry the current weights stay as they are.
+func (b *Balancer) assignWeights(pool []*endpoint, r *request, includeUnhealthy bool) float64 {
 	total, weightInUse := 0.0, 0.0
 	anyReport := false
 	for _, e := range pool {
@@ -59,7 +62,7 @@
 		if !e.outlier.ejected(b.now) {
 			weightInUse += weight / e.outlier.healthMultiplier(b.now)
 		}
-		if !b.eligible(r, e) || !evenUnhealthy && b.unhealthyFor(r, e) {
+		if !b.eligible(r, e) || !includeUnhealthy && b.unhealthyFor(r, e) {
 			continue
 		}
 		e.rotation.weight = weight
@@ -69,7 +72,7 @@
 	}
 	firstAttempt := len(r.attempts) == 0
 	for _, e := range pool {
-		// Without any report, the own requests in flight are all there is.
+		// Without any load report, this sidecar's own requests in flight are the best information.
 		e.rotation.loadKnown = e.rotation.loadKnown || !anyReport
 		if firstAttempt {
 			e.rotation.currentWeight = math.Min(e.rotation.currentWeight+e.rotation.weight, total)
@@ -81,6 +84,8 @@
 	return total
 }
 
+// unhealthyFor reports whether the request should avoid the endpoint: it is ejected, or it is not healthy
+// enough for a request that must not run twice.
 func (b *Balancer) unhealthyFor(r *request, e *endpoint) bool {
 	if e.outlier.ejected(b.now) {
 		return true
@@ -88,9 +93,9 @@
 	return r.class.Idempotency == NonIdempotent && e.outlier.healthMultiplier(b.now) < nonIdempotentMinHealth
 }
 
-// boundedLoad is the sum over the candidates whose load is known.
+// boundedLoad holds sums over the candidates whose number of requests in flight is known.
 type boundedLoad struct {
-	inFlight float64 // with the present request
+	inFlight float64 // requests in flight, including the one that an endpoint is picked for
 	weight   float64
 }
 
@@ -105,8 +110,9 @@
 	return load
 }
 
-// overloaded reports whether an endpoint has more than its share of the requests in flight: it is slow, hung
-// or filled by others, whatever its errors say. It keeps its current weight for later.
+// overloaded reports whether an endpoint would exceed its bounded share of the requests in flight, is at
+// capacity, or has an unknown load. Such an endpoint may be slow, hung or filled by other sidecars even if it
+// returns no errors. It keeps its current weight for later picks.
 func (b *Balancer) overloaded(e *endpoint, load boundedLoad) bool {
 	if !e.rotation.loadKnown {
 		return true
@@ -118,10 +124,12 @@
 	return b.gossip.fresh(b.now) && b.atCapacity(e)
 }
 
-// ranksBefore reports whether an endpoint is picked rather than the best so far. Where all are overloaded, a
-// first attempt goes to the least loaded.
-func (b *Balancer) ranksBefore(e, best *endpoint, retry, over bool) bool {
-	if over && !retry {
+// ranksBefore reports whether an endpoint is picked rather than the best one so far, which is overloaded if
+// and only if the endpoint is. Among overloaded endpoints a first attempt goes to the one with the fewest
+// requests in flight for its weight. Otherwise the higher current weight wins, and for a retry the better
+// health.
+func (b *Balancer) ranksBefore(e, best *endpoint, retry, overloaded bool) bool {
+	if overloaded && !retry {
 		return (b.knownInFlight(e)+1)*best.rotation.weight < (b.knownInFlight(best)+1)*e.rotation.weight
 	}
 	ahead := e.rotation.currentWeight > best.rotation.currentWeight
@@ -132,8 +140,9 @@
 	return health > bestHealth || health == bestHealth && ahead
 }
 
-// knownInFlight is how many requests an endpoint has: by a fresh report and what was sent since, or this
-// sidecar's.
+// knownInFlight returns the number of requests in flight at an endpoint. It is the number from a fresh load
+// report plus the attempts of this sidecar since, or without a fresh report this sidecar's attempts in
+// flight.
 func (b *Balancer) knownInFlight(e *endpoint) float64 {
 	if b.hasFreshReport(e) {
 		return e.check.inFlight + e.check.sentSinceReport
--- a/balance/round_robin_test.go
+++ b/balance/round_robin_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// sequence sends n idempotent requests one after the other, each served before the next, and returns the
-// endpoints that they went to.
+// sequence sends n idempotent requests one after the other, each of which ends before the next starts. It
+// returns the endpoints of their attempts.
 func sequence(h *harness, n int) []EndpointID {
 	h.t.Helper()
 	var targets []EndpointID
@@ -20,7 +20,7 @@
 	return targets
 }
 
-// Requests follow smooth weighted round robin by the endpoints' nominal capacities.
+// Requests are distributed by smooth weighted round robin, with the endpoints' nominal capacities as weights.
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	endpoints := newEndpoints(3)
 	endpoints[0].NominalCapacity = 5
@@ -33,7 +33,7 @@
 	}
 }
 
-// An endpoint of the least health gets fewer requests than its share, but still some.
+// An endpoint of the minimum health gets fewer requests than its share by capacity, but still gets some.
 func TestNoEndpointStarvesAtMinHealth(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	outlier := &h.b.endpoints[2].outlier
@@ -45,13 +45,14 @@
 		}
 	}
 	if hits == 0 || hits >= 10 {
-		t.Fatalf("the endpoint of the least health got %d of 40 requests, want 1 to 9", hits)
+		t.Fatalf("the endpoint of the minimum health got %d of 40 requests, want 1 to 9", hits)
 	}
 }
 
-// Incident: where every endpoint had far more than its share in flight, the next in the rotation was
-// overloaded further, and stayed slow. Then a first attempt goes to the endpoint with the least in flight for
-// its weight; a retry still goes by health. While some endpoint is within its share, the rotation decides.
+// Guards against overloading the next endpoint in the rotation further when all endpoints have far more than
+// their share of the requests in flight. In that case a first attempt must go to the endpoint with the fewest
+// requests in flight for its weight, and a retry still by health. While some endpoint is within its share,
+// the rotation decides.
 func TestFirstAttemptPicksLeastLoadedWhenAllAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
 		inFlight      [4]int
@@ -59,7 +60,7 @@
 		want          EndpointID
 	}{
 		{inFlight: [4]int{4, 3, 4, 4}, allOverloaded: true, want: 2},
-		{inFlight: [4]int{4, 4, 1, 0}, allOverloaded: false, want: 3}, // 3 and 4 are not, and 3 is next
+		{inFlight: [4]int{4, 4, 1, 0}, allOverloaded: false, want: 3}, // 3, 4 are not overloaded; 3 is next
 	} {
 		h := newHarness(t, baseConfig(), newEndpoints(4)...)
 		for i, e := range h.b.endpoints {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -6,82 +6,94 @@
 )
 
 const (
-	connectionsPerEndpoint           = 16  // that it is to hold when each sidecar uses its least subset
-	connectionsPerEndpointWithGossip = 5   // fewer are enough where gossip shows the fleet's load
-	minSubset                        = 3   // endpoints: enough to retry when some of them fail together
-	subsetPerRequest                 = 0.5 // endpoints for each request within the longest objective
-	ringCount                        = 8   // so that neighbors in one ring have different ones in the others
+	// sidecarsPerEndpoint is the number of sidecars that use each endpoint, and so hold connections to it,
+	// when all sidecars use subsets of the minimum size and there is no gossip.
+	sidecarsPerEndpoint = 16
+	// sidecarsPerEndpointWithGossip is the number of sidecars that use each endpoint, and so hold connections
+	// to it, when all sidecars use subsets of the minimum size and send gossip. Fewer are enough with gossip,
+	// because gossip shows the load of the whole fleet.
+	sidecarsPerEndpointWithGossip = 5
+	// minSubsetSize is the minimum number of endpoints in a subset: enough to retry when some of the
+	// endpoints fail together.
+	minSubsetSize = 3
+	// subsetEndpointsPerRequest is the number of endpoints in a sidecar's subset for each request that
+	// arrives within the longest latency objective.
+	subsetEndpointsPerRequest = 0.5
+	// ringCount is the number of rings. Each has the endpoints in another order, so that endpoints that are
+	// neighbors on one ring have other neighbors on the others.
+	ringCount = 8
 )
 
-// subsetRing places sidecars deterministically on rings of all endpoints. A sidecar uses a stretch of its
-// ring only: with connections from every sidecar to every endpoint, these would have too many.
+// subsetRing selects a sidecar's subset by deterministic subsetting. Each sidecar has a fixed place on one of
+// several rings of all endpoints, and its subset is the endpoints that follow. If every sidecar used every
+// endpoint, the endpoints would have too many connections.
 type subsetRing struct {
-	peerIndex   int
-	peerCount   int
-	perEndpoint float64
-	peersMatter bool // else only this sidecar's own ring is needed
-	rings       [ringCount][]*endpoint
-	buffer      []*endpoint // the present subset
+	peerIndex           int
+	peerCount           int
+	sidecarsPerEndpoint float64
+	needsPeerRings      bool // whether the rings of peers are needed, not only this sidecar's own ring
+	rings               [ringCount][]*endpoint
+	buffer              []*endpoint // the present subset; reused by each call of Balancer.subset
 }
 
 func newSubsetRing(cfg *Config) subsetRing {
 	s := subsetRing{
-		peerIndex:   cfg.PeerIndex,
-		peerCount:   cfg.PeerCount,
-		perEndpoint: connectionsPerEndpoint,
-		peersMatter: cfg.gossipEnabled(),
+		peerIndex:           cfg.PeerIndex,
+		peerCount:           cfg.PeerCount,
+		sidecarsPerEndpoint: sidecarsPerEndpoint,
+		needsPeerRings:      cfg.gossipEnabled(),
 	}
-	if s.peersMatter {
-		s.perEndpoint = connectionsPerEndpointWithGossip
+	if s.needsPeerRings {
+		s.sidecarsPerEndpoint = sidecarsPerEndpointWithGossip
 	}
 	return s
 }
 
-// rebuild takes in a new endpoint list.
+// rebuild fills the rings from a new endpoint list.
 func (s *subsetRing) rebuild(endpoints []*endpoint) {
 	for i := range s.rings {
-		if i == s.peerIndex%ringCount || s.peersMatter {
+		if i == s.peerIndex%ringCount || s.needsPeerRings {
 			s.rings[i] = sortRing(append(s.rings[i][:0], endpoints...), i)
 		}
 	}
 }
 
-// sortRing puts endpoints in the order of a ring, which is another in each.
-func sortRing(ring []*endpoint, number int) []*endpoint {
-	salt := mix64(uint64(number) + 1)
+// sortRing sorts endpoints in place by a hash of their IDs that differs from ring to ring, and returns them.
+func sortRing(ring []*endpoint, ringIndex int) []*endpoint {
+	salt := mix64(uint64(ringIndex) + 1)
 	sort.SliceStable(ring, func(i, j int) bool {
 		return mix64(uint64(ring[i].ID)+salt) < mix64(uint64(ring[j].ID)+salt)
 	})
 	return ring
 }
 
-// minSize is how wide a subset is without any traffic.
+// minSize returns the size of a subset without traffic, as a number of endpoints.
 func (s *subsetRing) minSize(endpointCount int) float64 {
-	return math.Max(minSubset, s.perEndpoint*float64(endpointCount)/float64(s.peerCount))
+	return math.Max(minSubsetSize, s.sidecarsPerEndpoint*float64(endpointCount)/float64(s.peerCount))
 }
 
-// position returns a sidecar's ring and where in it its subset starts.
+// position returns a sidecar's ring and the index on the ring at which the sidecar's subset starts.
 func (s *subsetRing) position(peer, endpointCount int) (ring []*endpoint, start int) {
 	peersOnRing := math.Ceil(float64(s.peerCount) / ringCount)
 	start = int(float64(endpointCount) * math.Mod(float64(peer/ringCount)/peersOnRing, 1))
 	return s.rings[peer%ringCount], start
 }
 
-// subset is what this sidecar rotates over. It is as wide as its traffic asks for, and goes on past members
-// that are ejected.
+// subset returns the endpoints that this sidecar picks from. The subset grows with the sidecar's traffic.
+// Endpoints that are ejected or not ready do not count in its size, so it extends past them.
 func (b *Balancer) subset() []*endpoint {
-	byTraffic := subsetPerRequest * b.requestRate.rate(b.now, 0) * b.longestObjective
-	width := math.Max(b.subsets.minSize(len(b.endpoints)), byTraffic)
-	if width >= float64(len(b.endpoints)) {
+	sizeByTraffic := subsetEndpointsPerRequest * b.requestRate.rate(b.now, 0) * b.longestObjective
+	size := math.Max(b.subsets.minSize(len(b.endpoints)), sizeByTraffic)
+	if size >= float64(len(b.endpoints)) {
 		return b.endpoints
 	}
 	ring, start := b.subsets.position(b.cfg.PeerIndex, len(b.endpoints))
 	subset := b.subsets.buffer[:0]
-	for i := 0; i < len(ring) && width > 0; i++ {
+	for i := 0; i < len(ring) && size > 0; i++ {
 		e := ring[(start+i)%len(ring)]
 		subset = append(subset, e)
 		if e.Lifecycle == Ready && !e.outlier.ejected(b.now) {
-			width--
+			size--
 		}
 	}
 	b.subsets.buffer = subset
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// subsetMembers returns the subset of one of a number of sidecars.
+// subsetMembers returns the subset of the sidecar with the given peer index among peerCount sidecars.
 func subsetMembers(t *testing.T, peerIndex, peerCount int, endpoints []Endpoint) map[EndpointID]bool {
 	t.Helper()
 	cfg := baseConfig()
@@ -17,9 +17,9 @@
 	return members
 }
 
-// Incident: a thousand sidecars that each used every endpoint filled the endpoints' connection tables, and
-// most attempts got no connection. Subsets are of the least size, use all endpoints evenly, and hardly change
-// when an endpoint is removed.
+// Guards against too many connections for each endpoint: a thousand sidecars that each used every endpoint
+// filled the endpoints' connection tables, and most attempts got no connection. Subsets must have the minimum
+// size, use all endpoints evenly and hardly change when an endpoint is removed.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
 	const peers, endpointCount = 800, 100
 	all, oneRemoved := newEndpoints(endpointCount), newEndpoints(endpointCount)[:endpointCount-1]
@@ -28,8 +28,8 @@
 	for n := range peers {
 		before := subsetMembers(t, n, peers, all)
 		after := subsetMembers(t, n, peers, oneRemoved)
-		if len(before) != minSubset {
-			t.Fatalf("sidecar %d uses %d endpoints, want %d", n, len(before), minSubset)
+		if len(before) != minSubsetSize {
+			t.Fatalf("sidecar %d uses %d endpoints, want %d", n, len(before), minSubsetSize)
 		}
 		for id := range before {
 			users[id]++
@@ -38,29 +38,30 @@
 			}
 		}
 	}
-	mean := float64(peers*minSubset) / endpointCount
+	mean := float64(peers*minSubsetSize) / endpointCount
 	for id, n := range users {
 		if math.Abs(float64(n)-mean) > mean/4 {
 			t.Errorf("endpoint %d is used by %d sidecars, want about %.0f", id, n, mean)
 		}
 	}
-	// The removal of one of a hundred endpoints moves about one member of a subset, at its end.
+	// The removal of one of a hundred endpoints changes about one member of a subset, at the end of the
+	// subset.
 	if len(users) != endpointCount || changed > peers {
 		t.Errorf("%d endpoints used, want %d; %d members changed when one was removed, want at most %d",
 			len(users), endpointCount, changed, peers)
 	}
 }
 
-// Few sidecars use all endpoints.
+// If there are few sidecars, each of them uses all endpoints.
 func TestFewSidecarsUseTheWholeFleet(t *testing.T) {
-	for _, peers := range []int{1, 3, connectionsPerEndpoint} {
+	for _, peers := range []int{1, 3, sidecarsPerEndpoint} {
 		if got := subsetMembers(t, 0, peers, newEndpoints(60)); len(got) != 60 {
 			t.Errorf("one of %d sidecars uses %d endpoints, want all 60", peers, len(got))
 		}
 	}
 }
 
-// A sidecar of much traffic must not overload the few endpoints of the least subset.
+// A sidecar with much traffic must not overload the few endpoints of a subset of the minimum size.
 func TestBusySidecarUsesLargerSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
@@ -73,33 +74,33 @@
 		h.now += 4
 	}
 	if n := len(h.b.subset()); n < 40 {
-		t.Fatalf("250 requests a second use %d of 100 endpoints, want at least 40", n)
+		t.Fatalf("250 requests per second use %d of 100 endpoints, want at least 40", n)
 	}
 }
 
-// Incident: most of a subset failed at once, and its sidecar had no endpoint left. Ejected members do not
-// count in the size of the subset.
+// Guards against a sidecar without usable endpoints after most of its subset has failed at once. Ejected
+// endpoints must not count in the size of the subset.
 func TestEjectedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
 	h := newHarness(t, cfg, newEndpoints(100)...)
 	before := append([]*endpoint(nil), h.b.subset()...)
-	for _, e := range before[:minSubset-1] {
+	for _, e := range before[:minSubsetSize-1] {
 		h.b.recordError(e, true)
 	}
-	if after := h.b.subset(); len(after) != 2*minSubset-1 || after[0] != before[0] {
+	if after := h.b.subset(); len(after) != 2*minSubsetSize-1 || after[0] != before[0] {
 		t.Fatalf("%d members with all but one of %d ejected, want %d and the same first",
-			len(after), len(before), 2*minSubset-1)
+			len(after), len(before), 2*minSubsetSize-1)
 	}
 	h.now += 1e6
 	h.handle(Timer{Token: 12345})
-	if after := h.b.subset(); len(after) != minSubset {
-		t.Fatalf("%d members after the ejections, want %d", len(after), minSubset)
+	if after := h.b.subset(); len(after) != minSubsetSize {
+		t.Fatalf("%d members after the ejections, want %d", len(after), minSubsetSize)
 	}
 }
 
-// Incident: a request with an idempotency key that may have run could not be retried, as no other member of
-// the subset was in the same cell. Then all endpoints are eligible.
+// Guards against a request with an idempotency key that cannot be retried after an attempt that may have run,
+// because the subset has no other endpoint in the same cell. In that case all endpoints must be candidates.
 func TestCellScopedKeyFallsBackToWholeFleet(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
@@ -116,9 +117,9 @@
 	}
 }
 
-// Incident: of 80 sidecars most had a few requests a second, and each opened connections to twelve endpoints
-// for them. Where sidecars gossip what endpoints have in flight, smaller subsets are enough, and still all
-// endpoints are used.
+// Guards against needless connections: most of 80 sidecars had a few requests per second, and each of them
+// opened connections to twelve endpoints. If sidecars send gossip about the requests in flight at endpoints,
+// smaller subsets are enough, and all endpoints must still be used.
 func TestGossipAllowsSmallerSubsets(t *testing.T) {
 	const peers, endpointCount = 80, 60
 	connections := map[bool]int{} // by whether gossip is enabled
--- a/balance/weight.go
+++ b/balance/weight.go
@@ -3,25 +3,56 @@
 import "math"
 
 const (
-	errorHalfLife          = 5000 // ms in which errors lose half their weight, as faults last seconds
-	errorPenalty           = 0.2  // of the health multiplier, lost for each consecutive error
-	minHealth              = 0.25 // the multiplier's floor, so that a recovered endpoint is found again
-	nonIdempotentMinHealth = 0.9  // what must not run twice goes to none under this while there are others
-	baseWeight             = 100
-	minWeight              = 1e-6
-	zonePreference         = 400 // weight added in the own zone, times the penalty of crossing zones
-	zonePreferenceDecay    = 4   // it ends where responses are slower by a quarter of the objective
+	// errorHalfLife is the time, in ms, after which an endpoint's consecutive errors count half as much in
+	// its health multiplier, as faults last for seconds.
+	errorHalfLife = 5000
+	// errorPenalty is the reduction of an endpoint's health multiplier (1: healthy) for each consecutive
+	// error.
+	errorPenalty = 0.2
+	// minHealth is the lower bound of an endpoint's health multiplier (1: healthy). It keeps some requests
+	// going to an unhealthy endpoint, so that its recovery is noticed.
+	minHealth = 0.25
+	// nonIdempotentMinHealth is the health multiplier (1: healthy) below which an endpoint gets no
+	// non-idempotent requests while there are healthier endpoints, as these requests must not run twice.
+	nonIdempotentMinHealth = 0.9
+	// baseWeight is the weight in the round robin of a healthy endpoint of nominal capacity 1. Weights have
+	// no unit.
+	baseWeight = 100
+	// minWeight is the lower bound of an endpoint's weight in the round robin. Weights have no unit.
+	minWeight = 1e-6
+	// zonePreferenceFactor is the additional weight of endpoints in the sidecar's own zone, as a multiple of
+	// their weight, for a penalty of 1 for crossing zones. It is multiplied by the actual penalty.
+	zonePreferenceFactor = 400
+	// zonePreferenceDecay is the fraction of the preference for the own zone that is lost for each latency
+	// objective by which the mean latency exceeds the baseline. At a quarter of the objective none is left.
+	zonePreferenceDecay = 4
 
-	capacityStep         = 0.01 // of a learned capacity for each response; machine type and zone: half of it
-	maxLogCapacity       = 2.5  // bound of each learned logarithm of capacity
-	maxCapacityLoss      = 2    // class means above which a slower response counts no more
-	meanStepSamples      = 200
-	initialLearningBoost = 8  // times faster learning at first: restarted sidecars know nothing
-	initialLearningSpan  = 50 // responses in which it halves
-	errorLatencyRatio    = 3  // class means that an error counts as
+	// capacityLearningRate is the change of an endpoint's learned capacity (a natural logarithm) with a
+	// response, for each mean latency of the class by which the response is faster or slower than that mean.
+	// The learned capacities of its machine type and zone change by half as much.
+	capacityLearningRate = 0.01
+	// maxLogCapacity is the upper bound, and its negative the lower bound, on each learned capacity (a
+	// natural logarithm).
+	maxLogCapacity = 2.5
+	// maxLatencyExcess is the upper bound on how far the latency of a response counts as above the mean
+	// latency of its class when capacities are learned, in mean latencies of the class.
+	maxLatencyExcess = 2
+	// meanStepSamples is the number of responses and errors over which the mean step of the learned
+	// capacities is taken (an exponential moving average). The mean step is subtracted from each step.
+	meanStepSamples = 200
+	// initialLearningBoost is the increase of the learning rate of capacities at the start, as a multiple of
+	// the regular rate, because a restarted sidecar has not learned any capacities.
+	initialLearningBoost = 8
+	// initialLearningSamples is the number of responses and errors after which the initial increase of the
+	// learning rate of capacities has halved.
+	initialLearningSamples = 50
+	// errorLatencyRatio is the latency that an error counts as when capacities are learned, in mean latencies
+	// of the class.
+	errorLatencyRatio = 3
 )
 
-// weightOf is capacity times health multiplier, lowered while the endpoint warms up.
+// weightOf returns an endpoint's weight in the round robin: its learned capacity times its health multiplier,
+// raised in the sidecar's own zone and lowered while the endpoint warms up.
 func (b *Balancer) weightOf(e *endpoint) float64 {
 	weight := baseWeight * e.NominalCapacity * b.capacity.factor(e) * e.outlier.healthMultiplier(b.now)
 	if e.Zone == b.cfg.Zone {
@@ -33,45 +64,49 @@
 	return math.Max(weight, minWeight)
 }
 
-// zonePreference is what an endpoint of the own zone has more weight. Responses from elsewhere cost a
-// penalty, which their delay soon outweighs.
+// zonePreference returns the additional weight of endpoints in the sidecar's own zone, as a multiple of their
+// weight. A response from another zone costs a penalty, but the delay of slow responses soon costs more than
+// the penalty. So the preference falls as responses become slower.
 func (b *Balancer) zonePreference() float64 {
-	ease := 1 - zonePreferenceDecay*math.Max(0, b.latency.mean-b.latency.baseline)
-	return zonePreference * b.cfg.Penalties.CrossZone * math.Max(0, ease)
+	remaining := 1 - zonePreferenceDecay*math.Max(0, b.latency.mean-b.latency.baseline)
+	return zonePreferenceFactor * b.cfg.Penalties.CrossZone * math.Max(0, remaining)
 }
 
-// healthMultiplier falls with consecutive errors, recovers with time and has a floor.
+// healthMultiplier returns the factor, from minHealth to 1, by which errors lower the endpoint's weight. It
+// falls with consecutive errors and recovers with time.
 func (o *outlierState) healthMultiplier(now float64) float64 {
 	decayed := o.consecutiveErrors * math.Exp(-math.Ln2*(now-o.lastErrorAt)/errorHalfLife)
 	return clamp(1-errorPenalty*decayed, minHealth, 1)
 }
 
-// capacityModel learns how much more or less than their nominal capacity endpoints can do. Each has a
-// logarithm of its own, beside one for its machine type and one for its zone, which all of these share.
+// capacityModel learns how much more or less than their nominal capacity endpoints can serve. The logarithm
+// of an endpoint's learned capacity is the sum of three parts: its own, which the endpoint holds, one that is
+// shared by all endpoints of its machine type, and one that is shared by all endpoints of its zone.
 type capacityModel struct {
-	byMachineType map[int]float64
-	byZone        map[int]float64
-	updates       float64
-	meanStep      float64
+	byMachineType map[int]float64 // logarithms
+	byZone        map[int]float64 // logarithms
+	updates       float64         // responses and errors learned from
+	meanStep      float64         // mean step of all endpoints, before the learning rate is applied
 }
 
 func newCapacityModel() capacityModel {
 	return capacityModel{byMachineType: map[int]float64{}, byZone: map[int]float64{}}
 }
 
-// factor is an endpoint's learned multiple of its nominal capacity.
+// factor returns an endpoint's learned capacity as a multiple of its nominal capacity.
 func (m *capacityModel) factor(e *endpoint) float64 {
 	return math.Exp(e.learnedCapacity + m.byMachineType[e.MachineType] + m.byZone[e.Zone])
 }
 
-// learn moves the learned capacities until responses take equally long everywhere; the latency is relative to
-// its class. The mean step is taken off: what all endpoints share is load, not capacity.
+// learn adjusts the learned capacities of an endpoint, its machine type and its zone, so that in the end the
+// responses of all endpoints take equally long. The latency is given as a multiple of the mean latency of its
+// class. The mean step is subtracted, because a change at all endpoints is due to load, not to capacity.
 func (m *capacityModel) learn(e *endpoint, relativeLatency float64) {
-	step := math.Max(-maxCapacityLoss, 1-relativeLatency)
+	step := math.Max(-maxLatencyExcess, 1-relativeLatency)
 	m.meanStep += (step - m.meanStep) / meanStepSamples
 	m.updates++
-	boost := 1 + initialLearningBoost/(1+m.updates/initialLearningSpan)
-	step = capacityStep * boost * (step - m.meanStep)
+	boost := 1 + initialLearningBoost/(1+m.updates/initialLearningSamples)
+	step = capacityLearningRate * boost * (step - m.meanStep)
 	e.learnedCapacity = clampLog(e.learnedCapacity + step)
 	m.byMachineType[e.MachineType] = clampLog(m.byMachineType[e.MachineType] + step/2)
 	m.byZone[e.Zone] = clampLog(m.byZone[e.Zone] + step/2)
@@ -79,7 +114,7 @@
 
 func clampLog(v float64) float64 { return clamp(v, -maxLogCapacity, maxLogCapacity) }
 
-// learnCapacity learns from a response or an error, but not while the endpoint warms up.
+// learnCapacity adjusts the learned capacities by a response or an error, except while the endpoint warms up.
 func (b *Balancer) learnCapacity(e *endpoint, relativeLatency float64) {
 	if !b.slowStart.warmingUp(e, b.now) {
 		b.capacity.learn(e, relativeLatency)
--- a/balance/weight_test.go
+++ b/balance/weight_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The health multiplier falls with consecutive errors of its own endpoint, recovers with time and has a
-// floor. A success restores it.
+// An endpoint's health multiplier falls with the endpoint's own consecutive errors, has a lower bound and
+// recovers with time. A success restores it to 1.
 func TestHealthMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	e, other := h.b.endpoints[0], h.b.endpoints[1]
@@ -38,7 +38,8 @@
 	}
 }
 
-// Endpoints that are twice as fast are found to have more capacity, and so is their machine type.
+// Endpoints that respond twice as fast as others get more requests, and a higher learned capacity is
+// attributed to their machine type.
 func TestCapacityIsLearned(t *testing.T) {
 	endpoints := newEndpoints(4)
 	endpoints[2].MachineType, endpoints[3].MachineType = 1, 1
@@ -63,7 +64,7 @@
 	}
 }
 
-// Where crossing zones has a penalty, the own zone gets more requests, and the others still get some.
+// If crossing zones has a penalty, the sidecar's own zone gets more requests, and other zones still get some.
 func TestOwnZoneIsPreferredWhenCrossingCosts(t *testing.T) {
 	for penalty, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
@@ -82,7 +83,9 @@
 	}
 }
 
-// Incident: a restarted sidecar with few requests used slow endpoints as much as fast ones for a minute.
+// Guards against a restarted sidecar with few requests that uses slow endpoints as much as fast ones for a
+// minute, as it has to learn their capacities first. At the start each response must change the learned
+// capacity by more.
 func TestCapacityIsLearnedFastAtFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	fast, slow := h.b.endpoints[0], h.b.endpoints[1]
@@ -91,7 +94,7 @@
 		h.b.learnCapacity(slow, 1.5)
 	}
 	early := fast.learnedCapacity - slow.learnedCapacity
-	for range 2000 { // both respond alike for a long time, until one turns fast
+	for range 2000 { // both are equally fast for a long time, until one becomes faster
 		h.b.learnCapacity(fast, 1)
 		h.b.learnCapacity(slow, 1)
 	}
@@ -106,13 +109,13 @@
 	}
 }
 
-// Incident: a non-idempotent request was lost for good at an endpoint that had just failed, while others were
-// healthy.
+// Guards against sending a non-idempotent request, which cannot be retried, to an endpoint that has just
+// failed while others are healthy.
 func TestNonIdempotentRequestsAvoidUnhealthyEndpoints(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	unhealthy := h.b.endpoints[2]
 	unhealthy.outlier.consecutiveErrors, unhealthy.outlier.lastErrorAt = 1, h.now
-	hits := map[int]int{} // of the unhealthy endpoint, by class
+	hits := map[int]int{} // requests at the unhealthy endpoint, by class
 	for i := range 40 {
 		class := []int{idempotentClass, nonIdempotentClass}[i%2]
 		id, actions := h.request(class)
@@ -128,7 +131,7 @@
 			"%d idempotent ones, want some",
 			hits[nonIdempotentClass], hits[idempotentClass])
 	}
-	for _, e := range h.b.endpoints { // with all unhealthy the rotation goes over all of them
+	for _, e := range h.b.endpoints { // if all endpoints are unhealthy, all are candidates
 		e.outlier.consecutiveErrors, e.outlier.lastErrorAt = 1, h.now
 	}
 	if _, actions := h.request(nonIdempotentClass); !hasAction(actions, StartAttempt) {
@@ -136,8 +139,8 @@
 	}
 }
 
-// Incident: the own data center had more traffic than its endpoints could serve, while the other one was
-// idle. Slow responses end the preference that the penalty for crossing zones gives the own zone.
+// Guards against overloading the endpoints of the sidecar's own zone while other zones are idle. The penalty
+// for crossing zones gives the own zone a preference, which must end when responses are slow.
 func TestSlowResponsesEndZonePreference(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Penalties.CrossZone, cfg.Zone = 0.05, 1
