--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the configuration file of a sidecar and derives the limits of its process.
+// Package config parses the configuration file of a sidecar and derives the resource limits of its process.
 package config
 
 import (
@@ -12,51 +12,52 @@
 	"pebblelift/internal/settings"
 )
 
-// Config is the configuration file's content.
+// Config holds the content of the configuration file.
 type Config struct {
 	Name          string
-	Listen        string // where clients connect
-	Discovery     string // the address of discovery
+	Listen        string // address (host:port) to which clients connect
+	Discovery     string // address (host:port) of discovery
 	Limits        Limits
-	CachedCatalog discovery.Catalog // the endpoint list as this sidecar last had it
+	CachedCatalog discovery.Catalog // endpoint list that this sidecar last had; zero if none
 	Settings      settings.Settings
 	Gossip        Gossip
 }
 
-// Gossip holds the addresses for datagrams between sidecars; an invalid one means there is none.
+// Gossip holds the addresses for gossip datagrams between sidecars. The zero AddrPort means that an address is not
+// set.
 type Gossip struct {
-	Listen    netip.AddrPort   // where this sidecar's datagrams arrive
-	Peers     []netip.AddrPort // of all sidecars, by peer index
-	Broadcast netip.AddrPort   // reaches all of them
+	Listen    netip.AddrPort   // address at which this sidecar receives datagrams
+	Peers     []netip.AddrPort // addresses of all sidecars, by peer index
+	Broadcast netip.AddrPort   // address that reaches all sidecars
 }
 
-// FieldError says which field of the configuration file is invalid. It is one line.
+// FieldError is the error for an invalid field of the configuration file. Its text is a single line.
 type FieldError struct {
-	Field string
-	Err   error
+	Field string // the key of the field in the file
+	Err   error  // why the field is invalid
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("config: %s: %v", e.Field, e.Err) }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the reason why the field is invalid.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// file mirrors the configuration file; keys that are not here are skipped.
+// file is the configuration file as JSON. Unknown keys are ignored.
 type file struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Name          string          `json:"name"`
+	Listen        string          `json:"listen"`
+	Discovery     string          `json:"discovery"`
+	Seed          string          `json:"seed"`
+	Limits        Limits          `json:"limits"`
+	CachedCatalog json.RawMessage `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
 
-	PeerListen string   `json:"peer_listen"`
-	Peers      []string `json:"peers"`
-	PeersAll   string   `json:"peers_all"`
+	GossipListen    string   `json:"peer_listen"`
+	GossipPeers     []string `json:"peers"`
+	GossipBroadcast string   `json:"peers_all"`
 }
 
-// Parse reads the configuration file.
+// Parse parses the configuration file. An error names the invalid field if there is one.
 func Parse(raw []byte) (Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -76,13 +77,14 @@
 	if c.Settings, err = settings.Parse(seed, f.Settings); err != nil {
 		return c, fmt.Errorf("config: %w", err)
 	}
-	if c.CachedCatalog, err = parseCachedCatalog(f.Known); err != nil {
+	if c.CachedCatalog, err = parseCachedCatalog(f.CachedCatalog); err != nil {
 		return c, err
 	}
 	c.Gossip, err = parseGossip(&f)
 	return c, err
 }
 
+// checkAddress returns an error if the address is not of the form host:port.
 func checkAddress(field, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return &FieldError{Field: field, Err: err}
@@ -90,6 +92,7 @@
 	return nil
 }
 
+// parseCachedCatalog returns the zero Catalog if the file has none.
 func parseCachedCatalog(raw json.RawMessage) (discovery.Catalog, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return discovery.Catalog{}, nil
@@ -101,16 +104,17 @@
 	return catalog, nil
 }
 
-// parseGossip reads the addresses of the sidecars. There is no name service, so each must be an IP address.
+// parseGossip parses the gossip addresses of this sidecar and its peers. Each must be an IP address with a port, as
+// there is no name service.
 func parseGossip(f *file) (g Gossip, err error) {
-	if g.Listen, err = parseAddrPort("peer_listen", f.PeerListen); err != nil {
+	if g.Listen, err = parseAddrPort("peer_listen", f.GossipListen); err != nil {
 		return g, err
 	}
-	if g.Broadcast, err = parseAddrPort("peers_all", f.PeersAll); err != nil {
+	if g.Broadcast, err = parseAddrPort("peers_all", f.GossipBroadcast); err != nil {
 		return g, err
 	}
-	g.Peers = make([]netip.AddrPort, len(f.Peers))
-	for i, addr := range f.Peers {
+	g.Peers = make([]netip.AddrPort, len(f.GossipPeers))
+	for i, addr := range f.GossipPeers {
 		if g.Peers[i], err = parseAddrPort("peers", addr); err != nil {
 			return g, err
 		}
@@ -118,7 +122,7 @@
 	return g, nil
 }
 
-// parseAddrPort returns the zero AddrPort for an address that is not given.
+// parseAddrPort parses an IP address with a port. It returns the zero AddrPort for an empty address.
 func parseAddrPort(field, addr string) (netip.AddrPort, error) {
 	if addr == "" {
 		return netip.AddrPort{}, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,9 +8,10 @@
 	"pebblelift/internal/nettest"
 )
 
-// Downstream connections, upstream connections and rejections fit into the limit on file descriptors with some left
-// for discovery. Clients send requests on up to a third of the descriptors: each of these needs an upstream connection,
-// and there must still be room for clients that connect and send nothing.
+// Downstream connections, upstream connections and connections being rejected must stay within the limit on file
+// descriptors, with some descriptors left for discovery. Clients send requests on up to a third of the descriptors.
+// Each such request needs an upstream connection, and there must still be room for clients that connect and send
+// nothing.
 func TestDescriptorLimits(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
 		limits, third := Limits{Sockets: sockets}, sockets/3
@@ -22,7 +23,7 @@
 	}
 }
 
-// Each invalid configuration is reported in a single line.
+// Parse reports each invalid configuration with an error of a single line.
 func TestInvalidConfig(t *testing.T) {
 	valid := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c","settings":` + nettest.Settings + `}`
 	if _, err := Parse([]byte(valid)); err != nil {
@@ -43,8 +44,8 @@
 	}
 }
 
-// Gossip addresses must be IP addresses with a port, because there is no name service. An invalid one is reported in a
-// single line.
+// Gossip addresses must be IP addresses with a port, because there is no name service. An invalid address is reported
+// with an error of a single line.
 func TestInvalidPeerAddresses(t *testing.T) {
 	for _, field := range []string{`"peer_listen":"x"`, `"peers":["127.0.0.1:1","host:1"]`, `"peers_all":"127.0.0.1"`} {
 		raw := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",` + field +
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,59 +1,70 @@
 package config
 
-// Limits bound the process; 0 is no bound.
+// Limits holds the resource limits of the sidecar's process. A MemoryMB or Sockets of 0 means no limit.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // file descriptors
+	Cores    float64 `json:"cores"`     // CPU cores
+	MemoryMB int     `json:"memory_mb"` // memory in MiB
+	Sockets  int     `json:"sockets"`   // open file descriptors
 }
 
 const (
-	// MaxConcurrentRejections is how many connections beyond the bound are rejected at once.
+	// MaxConcurrentRejections is the maximum number of client connections beyond DownstreamConnections that are
+	// rejected at the same time.
 	MaxConcurrentRejections = 16
-	reservedDescriptors     = 48 // for discovery, the listener, the runtime and rejections
-	healthCheckConnections  = 8  // to endpoints, beside those of requests
-	unbounded               = 1 << 20
-
-	bytesPerMB        = 1 << 20
-	runtimeMemoryPart = 0.7      // the rest is for the stacks of C and kernel buffers
-	readAheadPart     = 1.0 / 32 // of the memory
-	// DefaultReadAhead is ReadAheadBytes without a memory limit.
+	// reservedDescriptors is the number of file descriptors reserved for discovery, the listener, the Go runtime and
+	// client connections that are being rejected.
+	reservedDescriptors = 48
+	// healthCheckConnections is the number of connections to endpoints for health checks, in addition to those for
+	// requests.
+	healthCheckConnections = 8
+	// unlimitedConnections is the maximum number of connections if file descriptors are not limited.
+	unlimitedConnections = 1 << 20
+
+	// bytesPerMB is the number of bytes in one megabyte (MiB) of the memory limit.
+	bytesPerMB = 1 << 20
+	// runtimeMemoryFraction is the fraction of the memory limit that the Go runtime may use. The rest is for the
+	// stacks of C code and for kernel buffers.
+	runtimeMemoryFraction = 0.7
+	// readAheadFraction is the fraction of the memory limit that read-ahead of requests may use on all connections.
+	readAheadFraction = 1.0 / 32
+	// DefaultReadAhead is the result of ReadAheadBytes, in bytes, if there is no memory limit.
 	DefaultReadAhead = 4 << 20
 )
 
-// DownstreamConnections is how many connections of clients are open at most: what UpstreamConnections leaves, as
-// peers that send nothing hold connections too.
+// DownstreamConnections returns the maximum number of open client connections. It is what UpstreamConnections leaves
+// of the file descriptors, as clients that send nothing hold connections too.
 func (l Limits) DownstreamConnections() int {
 	if l.Sockets <= 0 {
-		return unbounded
+		return unlimitedConnections
 	}
 	return max(1, l.Sockets-reservedDescriptors-l.UpstreamConnections())
 }
 
-// UpstreamConnections is how many connections to endpoints are open at most. Clients use at most a third of the
-// descriptors for requests, and a request needs one connection to an endpoint at a time.
+// UpstreamConnections returns the maximum number of open connections to endpoints. Clients send requests on at most a
+// third of the file descriptors, and a request needs one connection to an endpoint at a time.
 func (l Limits) UpstreamConnections() int {
 	if l.Sockets <= 0 {
-		return unbounded
+		return unlimitedConnections
 	}
 	return max(1, min(l.Sockets/3+healthCheckConnections, (l.Sockets-reservedDescriptors)/2))
 }
 
-// ReadAheadBytes is how much is read of requests behind those being answered, on all connections.
+// ReadAheadBytes returns the maximum number of bytes, over all client connections, that are read of further requests
+// while earlier requests are being answered.
 func (l Limits) ReadAheadBytes() int64 {
 	if l.MemoryMB <= 0 {
 		return DefaultReadAhead
 	}
-	return int64(readAheadPart * float64(l.MemoryMB) * bytesPerMB)
+	return int64(readAheadFraction * float64(l.MemoryMB) * bytesPerMB)
 }
 
-// RuntimeMemory is the soft memory limit of the Go runtime in bytes; 0: none.
+// RuntimeMemory returns the soft memory limit of the Go runtime in bytes, or 0 for no limit.
 func (l Limits) RuntimeMemory() int64 {
 	if l.MemoryMB <= 0 {
 		return 0
 	}
-	return int64(runtimeMemoryPart * float64(l.MemoryMB) * bytesPerMB)
+	return int64(runtimeMemoryFraction * float64(l.MemoryMB) * bytesPerMB)
 }
 
-// Processors is how many threads run Go code at once.
+// Processors returns the number of threads that may run Go code at the same time (GOMAXPROCS).
 func (l Limits) Processors() int { return max(1, int(l.Cores)) }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -8,24 +8,25 @@
 	"pebblelift/balance"
 )
 
-// document mirrors the settings object under the names of its keys; keys that are not here are skipped.
+// document is the settings object as JSON. Most fields are named after the fields of balance.Config and Settings that
+// they set, and the tags hold the keys of the settings object. Unknown keys are ignored.
 type document struct {
-	Classes   []classDocument  `json:"classes"`
-	Tenants   []tenantDocument `json:"tenants"`
-	Zones     []string         `json:"zones"`
-	Kinds     []string         `json:"kinds"`
-	Discovery string           `json:"discovery"`
-	MyNumber  int              `json:"my_number"`
-	Peers     int              `json:"peers_total"`
-	Zone      int              `json:"zone"`
-	OverShare *float64         `json:"over_share_worth"`
-	Quantum   float64          `json:"quantum_ms"`
-	Report    struct {
-		Via    string   `json:"via"`
+	Classes         []classDocument  `json:"classes"`
+	Tenants         []tenantDocument `json:"tenants"`
+	Zones           []string         `json:"zones"`
+	MachineTypes    []string         `json:"kinds"`
+	Discovery       string           `json:"discovery"`
+	PeerIndex       int              `json:"my_number"`
+	PeerCount       int              `json:"peers_total"`
+	Zone            int              `json:"zone"`
+	OverQuotaWeight *float64         `json:"over_share_worth"`
+	BatchInterval   float64          `json:"quantum_ms"`
+	Report          struct {
+		Source string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Clients struct {
-		MarksRetry bool `json:"marks_retry"`
+		MarkRetries bool `json:"marks_retry"`
 	} `json:"clients"`
 	Limits    limitsDocument    `json:"limits"`
 	Rules     rulesDocument     `json:"rules"`
@@ -33,48 +34,52 @@
 	Penalties penaltiesDocument `json:"penalties"`
 }
 
+// classDocument is one class of requests; it becomes a balance.Class.
 type classDocument struct {
-	Name       string   `json:"name"`
-	Effect     string   `json:"effect"`
-	Group      string   `json:"group"`
-	Window     *float64 `json:"window_ms"`
-	OnTime     float64  `json:"on_time_ms"`
-	AimStretch float64  `json:"aim_stretch"`
-	HardLimit  float64  `json:"hard_limit_ms"`
-	Worth      *float64 `json:"worth"`
-	LateWorth  float64  `json:"late_worth"`
-	Stream     bool     `json:"stream"`
+	Name             string   `json:"name"`
+	Idempotency      string   `json:"effect"`
+	DedupScope       string   `json:"group"`
+	DedupWindow      *float64 `json:"window_ms"`
+	LatencyObjective float64  `json:"on_time_ms"`
+	ObjectivePerWork float64  `json:"aim_stretch"`
+	Deadline         float64  `json:"hard_limit_ms"`
+	PriorityWeight   *float64 `json:"worth"`
+	LateWeight       float64  `json:"late_worth"`
+	Stream           bool     `json:"stream"`
 }
 
+// tenantDocument is one tenant; it becomes a balance.Tenant.
 type tenantDocument struct {
-	Name      string  `json:"name"`
-	Allowance float64 `json:"allowance_per_s"`
-	Share     float64 `json:"share"`
+	Name       string  `json:"name"`
+	QuotaRate  float64 `json:"allowance_per_s"`
+	QuotaShare float64 `json:"share"`
 }
 
+// limitsDocument holds limits for a sidecar and what it is allowed to do.
 type limitsDocument struct {
-	Cancel         bool    `json:"cancel"`
-	ConnIdle       float64 `json:"conn_idle_ms"`
-	ConnectTimeout float64 `json:"connect_timeout_ms"`
-	MaxAttempts    *int    `json:"max_attempts"`
-	MaxRetryAfter  float64 `json:"max_retry_after_ms"`
-	MayTell        bool    `json:"may_tell"`
-	ParallelTries  bool    `json:"parallel_tries"`
-	Probes         bool    `json:"probes"`
-	RetryAfter     bool    `json:"retry_after"`
+	CancelAttempts  bool    `json:"cancel"`
+	ConnIdleTimeout float64 `json:"conn_idle_ms"`
+	ConnectTimeout  float64 `json:"connect_timeout_ms"`
+	MaxAttempts     *int    `json:"max_attempts"`
+	MaxRetryAfter   float64 `json:"max_retry_after_ms"`
+	Gossip          bool    `json:"may_tell"`
+	Hedging         bool    `json:"parallel_tries"`
+	HealthChecks    bool    `json:"probes"`
+	RetryAfter      bool    `json:"retry_after"`
 }
 
+// rulesDocument holds the time limits and the behavior of endpoints that warm up.
 type rulesDocument struct {
-	AnswerSlack  float64  `json:"answer_slack_ms"`
-	AskWithin    float64  `json:"ask_within_ms"`
-	ColdFrom     *float64 `json:"cold_from"`
-	Cold         float64  `json:"cold_ms"`
-	DrainGrace   float64  `json:"drain_grace_ms"`
-	Fall         float64  `json:"fall_ms"`
-	FallMultiple float64  `json:"fall_multiple"`
+	ResponseSlack     float64  `json:"answer_slack_ms"`
+	PollInterval      float64  `json:"ask_within_ms"`
+	SlowStartFraction *float64 `json:"cold_from"`
+	SlowStartDuration float64  `json:"cold_ms"`
+	DrainGrace        float64  `json:"drain_grace_ms"`
+	OverloadWindow    float64  `json:"fall_ms"`
+	OverloadFactor    float64  `json:"fall_multiple"`
 }
 
-// goalDocument has the fields of balance.Goal, to which it converts.
+// goalDocument has the same fields as balance.Goal and is converted to that type.
 type goalDocument struct {
 	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
@@ -82,7 +87,7 @@
 	WorstTenant float64 `json:"worst_tenant"`
 }
 
-// penaltiesDocument has the fields of balance.Penalties, to which it converts.
+// penaltiesDocument has the same fields as balance.Penalties and is converted to that type.
 type penaltiesDocument struct {
 	CrossZone   float64 `json:"cross_zone"`
 	Waste       float64 `json:"waste"`
@@ -92,12 +97,14 @@
 	LateFailure float64 `json:"late_fail"`
 }
 
+// idempotencyNames maps the values of "effect".
 var idempotencyNames = map[string]balance.Idempotency{
 	"read_like":       balance.Idempotent,
 	"idempotency_key": balance.IdempotentWithKey,
 	"non_idempotent":  balance.NonIdempotent,
 }
 
+// dedupScopeNames maps the values of "group".
 var dedupScopeNames = map[string]balance.DedupScope{
 	"":     balance.DedupAll,
 	"all":  balance.DedupAll,
@@ -105,6 +112,7 @@
 	"cell": balance.DedupCell,
 }
 
+// reportSourceNames maps the values of "report.via".
 var reportSourceNames = map[string]balance.ReportSource{
 	"":          balance.ReportNone,
 	"silent":    balance.ReportNone,
@@ -112,7 +120,8 @@
 	"pull":      balance.ReportHealthCheck,
 }
 
-// reportFieldNames lacks names that may come in later; they are balance.FieldUnknown.
+// reportFieldNames maps the values of "report.fields". Unknown names, which later versions of the settings object may
+// contain, become balance.FieldUnknown.
 var reportFieldNames = map[string]balance.ReportField{
 	"rif":       balance.FieldInFlight,
 	"q":         balance.FieldQueue,
@@ -122,7 +131,7 @@
 	"fail_rate": balance.FieldErrorRate,
 }
 
-// subscribeNames maps the values of "discovery" to whether the endpoint list must be polled.
+// subscribeNames maps the values of "discovery" to whether the endpoint list must be polled for or watched.
 var subscribeNames = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
 func parseDocument(raw []byte) (d document, err error) {
@@ -132,22 +141,23 @@
 	return d, nil
 }
 
+// balancerConfig converts the document and returns an error for missing classes or invalid values.
 func (d *document) balancerConfig(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
 		Seed:               seed,
-		PeerIndex:          d.MyNumber,
-		PeerCount:          max(d.Peers, 1),
+		PeerIndex:          d.PeerIndex,
+		PeerCount:          max(d.PeerCount, 1),
 		Zone:               d.Zone,
-		OverQuotaWeight:    orDefault(d.OverShare, 1),
-		BatchInterval:      d.Quantum,
-		ClientsMarkRetries: d.Clients.MarksRetry,
+		OverQuotaWeight:    orDefault(d.OverQuotaWeight, 1),
+		BatchInterval:      d.BatchInterval,
+		ClientsMarkRetries: d.Clients.MarkRetries,
 		Goal:               balance.Goal(d.Goal),
 		Penalties:          balance.Penalties(d.Penalties),
 	}
 	d.Limits.apply(&cfg)
 	d.Rules.apply(&cfg)
 	for _, t := range d.Tenants {
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.Allowance, QuotaShare: t.Share})
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{QuotaRate: t.QuotaRate, QuotaShare: t.QuotaShare})
 	}
 	if err := d.applySources(&cfg); err != nil {
 		return cfg, err
@@ -157,10 +167,10 @@
 
 func (l *limitsDocument) apply(cfg *balance.Config) {
 	cfg.MaxAttempts = orDefault(l.MaxAttempts, 1)
-	cfg.Hedging = l.ParallelTries
-	cfg.CancelAttempts = l.Cancel
-	cfg.HealthChecks = l.Probes
-	cfg.Gossip = l.MayTell
+	cfg.Hedging = l.Hedging
+	cfg.CancelAttempts = l.CancelAttempts
+	cfg.HealthChecks = l.HealthChecks
+	cfg.Gossip = l.Gossip
 	cfg.RetryAfter = l.RetryAfter
 	cfg.MaxRetryAfter = l.MaxRetryAfter
 	cfg.ConnectTimeout = l.ConnectTimeout
@@ -168,22 +178,22 @@
 
 func (r *rulesDocument) apply(cfg *balance.Config) {
 	cfg.DrainGrace = r.DrainGrace
-	cfg.SlowStartFraction = orDefault(r.ColdFrom, 1)
-	cfg.SlowStartDuration = r.Cold
-	cfg.OverloadFactor = r.FallMultiple
-	cfg.OverloadWindow = r.Fall
-	cfg.PollInterval = r.AskWithin
-	cfg.ResponseSlack = r.AnswerSlack
+	cfg.SlowStartFraction = orDefault(r.SlowStartFraction, 1)
+	cfg.SlowStartDuration = r.SlowStartDuration
+	cfg.OverloadFactor = r.OverloadFactor
+	cfg.OverloadWindow = r.OverloadWindow
+	cfg.PollInterval = r.PollInterval
+	cfg.ResponseSlack = r.ResponseSlack
 }
 
-// applySources sets where the endpoint list and load reports come from.
+// applySources sets where the endpoint list and the load reports come from.
 func (d *document) applySources(cfg *balance.Config) error {
 	var known bool
 	if cfg.Subscribe, known = subscribeNames[d.Discovery]; !known {
 		return invalid("discovery", d.Discovery)
 	}
-	if cfg.ReportSource, known = reportSourceNames[d.Report.Via]; !known {
-		return invalid("report.via", d.Report.Via)
+	if cfg.ReportSource, known = reportSourceNames[d.Report.Source]; !known {
+		return invalid("report.via", d.Report.Source)
 	}
 	for _, name := range d.Report.Fields {
 		cfg.ReportFields = append(cfg.ReportFields, reportFieldNames[name])
@@ -206,40 +216,41 @@
 }
 
 func (c *classDocument) balancerClass() (balance.Class, error) {
-	idempotency, known := idempotencyNames[c.Effect]
+	idempotency, known := idempotencyNames[c.Idempotency]
 	if !known {
-		return balance.Class{}, invalid("effect", c.Effect)
+		return balance.Class{}, invalid("effect", c.Idempotency)
 	}
-	scope, known := dedupScopeNames[c.Group]
+	scope, known := dedupScopeNames[c.DedupScope]
 	if !known {
-		return balance.Class{}, invalid("group", c.Group)
+		return balance.Class{}, invalid("group", c.DedupScope)
 	}
-	if !(c.HardLimit > 0) {
-		return balance.Class{}, invalid("hard_limit_ms", c.HardLimit)
+	if !(c.Deadline > 0) {
+		return balance.Class{}, invalid("hard_limit_ms", c.Deadline)
 	}
-	if c.OnTime < 0 {
-		return balance.Class{}, invalid("on_time_ms", c.OnTime)
+	if c.LatencyObjective < 0 {
+		return balance.Class{}, invalid("on_time_ms", c.LatencyObjective)
 	}
-	objective := c.OnTime
+	objective := c.LatencyObjective
 	if objective == 0 {
-		objective = c.HardLimit
+		objective = c.Deadline
 	}
 	return balance.Class{
 		Idempotency:      idempotency,
 		DedupScope:       scope,
-		DedupWindow:      orDefault(c.Window, math.Inf(1)),
+		DedupWindow:      orDefault(c.DedupWindow, math.Inf(1)),
 		LatencyObjective: objective,
-		ObjectivePerWork: c.AimStretch,
-		Deadline:         c.HardLimit,
-		PriorityWeight:   orDefault(c.Worth, 1),
-		LateWeight:       c.LateWorth,
+		ObjectivePerWork: c.ObjectivePerWork,
+		Deadline:         c.Deadline,
+		PriorityWeight:   orDefault(c.PriorityWeight, 1),
+		LateWeight:       c.LateWeight,
 		Stream:           c.Stream,
 	}, nil
 }
 
-func orDefault[T any](value *T, otherwise T) T {
+// orDefault returns what value points to, or defaultValue if value is nil.
+func orDefault[T any](value *T, defaultValue T) T {
 	if value == nil {
-		return otherwise
+		return defaultValue
 	}
 	return *value
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings object that both programs are configured with.
+// Package settings parses the settings object, which configures both the sidecar and the simulator adapter.
 package settings
 
 import (
@@ -8,32 +8,33 @@
 	"pebblelift/balance"
 )
 
-// Settings is the settings object: the balancer's configuration, and what only connections need.
+// Settings holds the content of the settings object: the balancer's configuration, and values that only the network
+// side of a sidecar needs.
 type Settings struct {
 	Balancer balance.Config
 
-	// The names that stand for positions in Balancer.
+	// The names of the values that Balancer refers to by their positions in these slices.
 	Classes      []string
 	Tenants      []string
 	Zones        []string
 	MachineTypes []string
 	ReportFields []string
 
-	ConnIdleTimeout float64 // ms after which endpoints close idle connections; 0: unknown
+	ConnIdleTimeout float64 // time in ms after which endpoints close idle connections; 0: unknown
 }
 
-// FieldError says which key of the settings object is invalid.
+// FieldError is the error for an invalid value in the settings object.
 type FieldError struct {
-	Field string
-	Err   error
+	Field string // the key that has the invalid value
+	Err   error  // why the value is invalid
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("settings: %s: %v", e.Field, e.Err) }
 
-// Unwrap returns what is wrong with the key.
+// Unwrap returns the reason why the value is invalid.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// ErrNoClasses is the error of settings without any class of requests.
+// ErrNoClasses is the error for a settings object without any class of requests.
 var ErrNoClasses = errors.New("settings: no classes")
 
 var errInvalidValue = errors.New("invalid value")
@@ -42,8 +43,9 @@
 	return &FieldError{Field: field, Err: fmt.Errorf("%w: %v", errInvalidValue, value)}
 }
 
-// Parse reads the settings of a sidecar on the network. There all changes of endpoints come on a watch; where the settings
-// say that lists are pushed, it is a watch of the sidecar's own agent.
+// Parse parses the settings object of a sidecar on the network. Such a sidecar gets all changes of the endpoint list
+// from a watch. If the settings say that the list is pushed, it watches its own local agent. The error is a syntax
+// error, a *FieldError or ErrNoClasses, possibly wrapped.
 func Parse(seed uint64, raw []byte) (Settings, error) {
 	d, err := parseDocument(raw)
 	if err != nil {
@@ -58,9 +60,9 @@
 	s := Settings{
 		Balancer:        cfg,
 		Zones:           d.Zones,
-		MachineTypes:    d.Kinds,
+		MachineTypes:    d.MachineTypes,
 		ReportFields:    d.Report.Fields,
-		ConnIdleTimeout: d.Limits.ConnIdle,
+		ConnIdleTimeout: d.Limits.ConnIdleTimeout,
 	}
 	for i := range d.Classes {
 		s.Classes = append(s.Classes, d.Classes[i].Name)
@@ -71,7 +73,7 @@
 	return s, nil
 }
 
-// ParseConfig reads the settings of a sidecar in the simulator.
+// ParseConfig parses the settings object of a sidecar in the simulator. Its errors are those of Parse.
 func ParseConfig(seed uint64, raw []byte) (balance.Config, error) {
 	d, err := parseDocument(raw)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"pebblelift/balance"
 )
 
-// ParseConfig translates the keys of the settings object, skips unknown keys, applies defaults and rejects invalid
-// values.
+// ParseConfig converts the settings object to a balancer configuration. It ignores unknown keys, sets defaults for
+// omitted ones and rejects invalid values.
 func TestParseConfig(t *testing.T) {
 	cfg, err := ParseConfig(9, []byte(`{"classes": [
 		{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500, "worth": 2, "late_worth": 0.3},
@@ -34,7 +34,7 @@
 		t.Errorf("goal %+v, want %+v", cfg.Goal, wantGoal)
 	}
 	if cfg.LocalAgent {
-		t.Error("LocalAgent is set, but the simulator's discovery is no local agent")
+		t.Error("LocalAgent is set, want it unset: the simulator has no local agent")
 	}
 	wantPenalties := balance.Penalties{
 		CrossZone: 1, Waste: 2, Handshake: 3, HealthCheck: 4, Gossip: 5, LateFailure: 6,
@@ -68,7 +68,7 @@
 	}
 }
 
-// Parse always subscribes to discovery, even if the settings say that catalogs are pushed: then the watch is one of a
+// Parse always subscribes to discovery. If the settings say that the endpoint list is pushed, the sidecar watches its
 // local agent. ParseConfig, for the simulator, subscribes only if the settings say so.
 func TestParseAlwaysSubscribes(t *testing.T) {
 	for discovery, localAgent := range map[string]bool{"": true, "automatic": true, "subscribe": false} {
@@ -84,8 +84,8 @@
 	}
 }
 
-// Any settings object is either rejected with an error or gives a configuration with which a balancer can start and
-// handle a first request.
+// ParseConfig either rejects a settings object with an error or returns a configuration with which a balancer can
+// start and handle a first request.
 func FuzzParseConfig(f *testing.F) {
 	for _, raw := range []string{
 		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1500}]}`,
@@ -103,7 +103,7 @@
 			return
 		}
 		if len(cfg.Classes) == 0 {
-			t.Fatal("a configuration without classes and no error")
+			t.Fatal("got a configuration without classes, want an error")
 		}
 		b := balance.New(cfg)
 		b.Start(10)
@@ -123,8 +123,8 @@
 	})
 }
 
-// Parse keeps the names that stand for positions in the balancer's configuration, and the time after which endpoints
-// close idle connections, so that the sidecar does not keep them longer.
+// Parse returns the names of the values that the balancer's configuration refers to by position. It also returns the
+// time after which endpoints close idle connections, so that the sidecar does not reuse connections after that time.
 func TestParseKeepsNames(t *testing.T) {
 	s, err := Parse(9, []byte(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 300}],
 		"tenants": [{"name": "acme"}], "zones": ["a", "b"], "kinds": ["m1"],
