--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -3,121 +3,163 @@
 import "math"
 
 const (
-	notificationDeadline  = 6000 // ms after which a change counts as notified once discovery can be reached
-	discoveryResponseTime = 1000 // the part of it kept for discovery's response
-	stallDetectionTime    = 2500 // the part of it in which a stalled watch is noticed
-	discoveryCallTime     = 60   // ms of discovery's time that a call takes, at the most that was seen
-	minPollBackoff        = 500  // ms within which a failed call is made again; doubles with each failure
-	maxBackoffDoublings   = 4
-	minWatchTimeout       = 1200 // ms to wait for a response at first, so that time is left for another call
-	maxWatchTimeout       = 3500 // ms at most: discovery itself gives a call up after 3 s
-	minAgentBackoff       = 20   // ms between two calls to a local agent
-	agentPollsPerGrace    = 4    // calls to it within the drain grace, at the least
+	// notificationDeadline is the time in ms within which a sidecar must know a change of the endpoint
+	// list, counted from when discovery has the change and can be reached. The sidecar counts as notified
+	// after it.
+	notificationDeadline = 6000
+
+	// discoveryResponseTime is the time in ms, within notificationDeadline, that is reserved for
+	// discovery's response to a call.
+	discoveryResponseTime = 1000
+
+	// stallDetectionTime is the time in ms, within notificationDeadline, that it takes to notice that a
+	// watch of the endpoint list has stalled.
+	stallDetectionTime = 2500
+
+	// maxDiscoveryCallTime is the longest time in ms for which discovery works on one call. Discovery
+	// handles the calls of all sidecars one after another.
+	maxDiscoveryCallTime = 60
+
+	// minPollBackoff is a lower bound in ms for the time within which a failed call to discovery is
+	// repeated. The time doubles with each consecutive failure.
+	minPollBackoff = 500
+
+	// maxBackoffDoublings is how many times the backoff and the timeout of calls to discovery double at
+	// most, once for each consecutive failure.
+	maxBackoffDoublings = 4
+
+	// minWatchTimeout is the shortest time in ms to wait for the start of discovery's response to a call.
+	// It leaves time for another call before notificationDeadline. The wait doubles with each consecutive
+	// failure.
+	minWatchTimeout = 1200
+
+	// maxWatchTimeout is the longest time in ms to wait for the start of discovery's response to a call.
+	// Discovery itself gives up a call after 3000 ms.
+	maxWatchTimeout = 3500
+
+	// minAgentBackoff is a lower bound in ms for the time within which a failed call to a local discovery
+	// agent is repeated.
+	minAgentBackoff = 20
+
+	// agentPollsPerDrainGrace is the least number of calls to a local discovery agent that are made within
+	// Config.DrainGrace while calls fail.
+	agentPollsPerDrainGrace = 4
 )
 
-// pollSchedule decides when to call discovery. All sidecars share it, and it handles calls in turn: calls
-// made in step wait for each other, fail, and are made in step again.
+// pollSchedule decides when to call discovery. All sidecars share one discovery service, which handles
+// calls one after another. Calls that sidecars make at the same time delay each other, time out, and
+// without random delays would be repeated at the same time.
 type pollSchedule struct {
-	peerCount  int
-	localAgent bool
-	drainGrace float64
-	interval   float64
-	seed       uint64
-
-	failures int     // in a row
-	watching bool    // a watch is open, or about to be
-	polledAt float64 // when the pending call was made; +Inf once it was answered
+	peerCount    int     // number of sidecars, this one included
+	localAgent   bool    // discovery is an agent that serves this sidecar only
+	drainGrace   float64 // Config.DrainGrace, in ms
+	pollInterval float64 // Config.PollInterval, in ms; 0 if not given
+	seed         uint64
+
+	failures      int     // consecutive failed calls
+	watching      bool    // a call was made and neither failed nor stalled since
+	callStartedAt float64 // start of the pending call, in ms; +Inf after a response
 }
 
 func newPollSchedule(cfg *Config) pollSchedule {
 	return pollSchedule{
-		peerCount:  cfg.PeerCount,
-		localAgent: cfg.LocalAgent,
-		drainGrace: cfg.DrainGrace,
-		interval:   cfg.PollInterval,
-		seed:       cfg.Seed,
-		polledAt:   math.Inf(1),
+		peerCount:     cfg.PeerCount,
+		localAgent:    cfg.LocalAgent,
+		drainGrace:    cfg.DrainGrace,
+		pollInterval:  cfg.PollInterval,
+		seed:          cfg.Seed,
+		callStartedAt: math.Inf(1),
 	}
 }
 
-// began takes note of a call and returns how long to wait for its response: longer after failures, as
-// discovery may just be slow.
-func (p *pollSchedule) began(now float64) (timeout float64) {
+// startCall records the start of a call and returns how long to wait for its response, in ms. The wait
+// grows after failures, because discovery may only be slow.
+func (p *pollSchedule) startCall(now float64) (timeout float64) {
 	p.watching = true
-	p.polledAt = now
-	wait := math.Max(minWatchTimeout, p.spread()) * doublings(p.failures, maxBackoffDoublings)
+	p.callStartedAt = now
+	wait := math.Max(minWatchTimeout, p.fleetCallTime()) * doublings(p.failures, maxBackoffDoublings)
 	return math.Min(wait, maxWatchTimeout)
 }
 
-func (p *pollSchedule) succeeded() {
+// recordSuccess records that discovery responded.
+func (p *pollSchedule) recordSuccess() {
 	p.failures = 0
-	p.polledAt = math.Inf(1)
+	p.callStartedAt = math.Inf(1)
 }
 
-// delayAtStart is when to make the first call: all sidecars may have been started together.
+// delayAtStart returns the delay of the first call, in ms. It is random, because all sidecars may have been
+// started at the same time.
 func (p *pollSchedule) delayAtStart(now float64) float64 {
-	return p.jitter(math.Min(p.spread(), p.timeLeft(now, 0)))
+	return p.jitter(math.Min(p.fleetCallTime(), p.remainingTime(now, 0)))
 }
 
-// delayAfterFailure is when to call again after a failure: a backoff in which discovery can answer all
-// sidecars, as they fail together.
+// delayAfterFailure records a failed call and returns the delay of the next one, in ms. Calls of all
+// sidecars fail together, so the backoff is long enough for discovery to answer all of them.
 func (p *pollSchedule) delayAfterFailure(now float64) float64 {
 	p.watching = false
 	p.failures++
 	if p.localAgent {
-		return p.jitter(clamp(p.drainGrace/agentPollsPerGrace, minAgentBackoff, minPollBackoff))
+		return p.jitter(clamp(p.drainGrace/agentPollsPerDrainGrace, minAgentBackoff, minPollBackoff))
 	}
-	backoff := math.Max(minPollBackoff, p.spread()) * doublings(p.failures-1, maxBackoffDoublings)
-	return p.jitter(math.Min(p.timeLeft(now, 0), backoff))
+	backoff := math.Max(minPollBackoff, p.fleetCallTime()) * doublings(p.failures-1, maxBackoffDoublings)
+	return p.jitter(math.Min(p.remainingTime(now, 0), backoff))
 }
 
-// delayAfterStall is when to call again after a stalled watch: what it misses counts as notified soon, and
-// some of that time is needed for the call.
+// delayAfterStall records that the watch has stalled and returns the delay of the next call, in ms. Part of
+// the time to the notification deadline of missed changes has passed already, and the call needs some of
+// the rest.
 func (p *pollSchedule) delayAfterStall(now float64) float64 {
 	p.watching = false
-	return p.jitter(math.Min(p.spread(), p.timeLeft(now, stallDetectionTime)))
+	return p.jitter(math.Min(p.fleetCallTime(), p.remainingTime(now, stallDetectionTime)))
 }
 
-// timeLeft is the time for the next call, after so much has passed. Discovery may be back since the failed
-// call began, and what changes then counts as notified a while later. A call that took longer than any was
-// answered.
-func (p *pollSchedule) timeLeft(now, passed float64) float64 {
-	if call := now - p.polledAt; call < 2*maxWatchTimeout {
+// remainingTime returns the time in ms within which the next call must start to meet the notification
+// deadline. Of the deadline, the given time has passed already, or the duration of the failed call if that
+// is longer: discovery may have been reachable again since the call started. A call that started more than
+// 2*maxWatchTimeout ago is left out: no failed call takes so long, so it must have been answered.
+func (p *pollSchedule) remainingTime(now, passed float64) float64 {
+	if call := now - p.callStartedAt; call < 2*maxWatchTimeout {
 		passed = math.Max(passed, call)
 	}
 	return math.Max(minPollBackoff, notificationDeadline-discoveryResponseTime-passed)
 }
 
-// spread is the time in which discovery can answer all sidecars. A local agent answers just one.
-func (p *pollSchedule) spread() float64 {
+// fleetCallTime returns the time in ms that discovery needs to answer one call of each sidecar. It is 0 for
+// a local agent, which serves this sidecar only.
+func (p *pollSchedule) fleetCallTime() float64 {
 	if p.localAgent {
 		return 0
 	}
-	return discoveryCallTime * float64(p.peerCount)
+	return maxDiscoveryCallTime * float64(p.peerCount)
 }
 
-// jitter returns a random delay within a span, which is at most half of the poll interval: one that has not
-// polled for long counts as notified of what it never heard. Its random numbers are its own, so that requests
-// go the same ways whenever discovery is called.
+// jitter returns a random delay from 0 to the given span, both in ms. The span is limited to half of the
+// poll interval, because a sidecar that has not polled for an interval counts as notified of all changes.
+// The random number comes from a source of its own, so that calls to discovery do not influence how
+// requests are routed.
 func (p *pollSchedule) jitter(span float64) float64 {
-	if p.interval > 0 {
-		span = math.Min(span, p.interval/2)
+	if p.pollInterval > 0 {
+		span = math.Min(span, p.pollInterval/2)
 	}
 	random := randomSource{state: p.seed ^ uint64(pollTimer+p.failures)}
 	return span * random.float64()
 }
 
+// schedulePoll sets the timer for the next call to discovery.
 func (b *Balancer) schedulePoll(delay float64) {
 	b.emit(Action{Kind: SetTimer, Token: pollTimer, Delay: delay})
 }
 
-// poll watches the endpoint list: changes cost less than whole lists.
+// poll starts a watch of the endpoint list. A watch transfers changes only, which cost less than whole
+// lists.
 func (b *Balancer) poll() {
-	b.emit(Action{Kind: Watch, Delay: b.polls.began(b.now)})
+	b.emit(Action{Kind: Watch, Delay: b.polls.startCall(b.now)})
 }
 
+// handlePollTimer calls discovery, unless the address of discovery has changed since the timer was set: a
+// call was made then.
 func (b *Balancer) handlePollTimer() {
-	if !b.polls.watching { // else its source changed in between
+	if !b.polls.watching {
 		b.poll()
 	}
 }
--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// nextPoll returns when the sidecar calls discovery next, by the actions that it has just returned.
+// nextPoll returns the time in ms at which the sidecar calls discovery next, according to the actions that
+// its balancer has just returned; +Inf if there is no next call.
 func (h *harness) nextPoll(actions []Action) float64 {
 	for _, a := range actions {
 		if a.Kind == SetTimer && a.Token == pollTimer {
@@ -18,9 +19,10 @@
 	return math.Inf(1)
 }
 
-// Failed polls keep the old endpoint list and are repeated with a growing backoff, within the poll interval.
+// Failed polls keep the old endpoint list and are repeated with a growing backoff of at most half the poll
+// interval.
 func TestDiscoveryPollsBackOff(t *testing.T) {
-	var backoffs [6]float64 // summed over all seeds
+	var backoffs [6]float64 // by number of earlier failures, in ms, summed over all seeds
 	for seed := range 50 {
 		cfg := baseConfig()
 		cfg.Subscribe = true
@@ -51,8 +53,9 @@
 	}
 }
 
-// When the address of discovery changes, it is polled there at once, whatever the state of the earlier call.
-// A retry that was scheduled before must not poll once more: that would end a working watch.
+// When the address of discovery changes, the new address is polled at once, whatever the state of the earlier
+// call. Guards against a second poll by a retry that was scheduled before the change, which would end a
+// working watch.
 func TestSourceChangeTriggersOnePoll(t *testing.T) {
 	for name, before := range map[string][]Event{
 		"before the first call": nil,
@@ -81,20 +84,20 @@
 	}
 }
 
-// Incident: 80 sidecars that were started together polled discovery at once, and again in step after each
-// failure. Discovery handles calls one by one, also those that have already timed out, so for ten seconds
-// hardly any sidecar got a list.
+// Guards against synchronized polls. Discovery handles calls one after another, including calls that have
+// timed out already. When 80 sidecars that were started together polled at the same time, and again at the
+// same time after each failure, hardly any of them got a list for ten seconds.
 func TestPollsOfManySidecarsAreSpread(t *testing.T) {
 	const (
 		peers    = 80
-		callTime = 55.0   // ms that discovery needs for a call
-		timeout  = 2000.0 // ms after which a sidecar gives its call up
+		callTime = 55.0   // ms that discovery works on one call
+		timeout  = 2000.0 // ms after which a sidecar gives up its call
 	)
 	type sidecar struct {
 		*harness
 		nextCallAt float64
-		callEndsAt float64 // of the call in flight
-		callFails  bool
+		callEndsAt float64 // end of the call in flight; +Inf if there is none
+		callFails  bool    // the call in flight will time out
 	}
 	sidecars := make([]*sidecar, peers)
 	for i := range sidecars {
@@ -136,8 +139,9 @@
 	}
 }
 
-// Incident: 300 sidecars spread their first polls over 18 s, and some sent attempts to an endpoint that had
-// been removed 11 s before. A sidecar that has not polled within PollInterval counts as notified.
+// Guards against late first polls in large fleets. A sidecar that has not polled within PollInterval counts
+// as notified of all changes. When 300 sidecars spread their first polls over 18 s, some sent attempts to an
+// endpoint that had been removed 11 s before.
 func TestFirstPollMeetsDeadlineInLargeFleets(t *testing.T) {
 	latest := 0.0
 	for i := range 300 {
@@ -155,18 +159,18 @@
 	}
 }
 
-// A change counts as notified 6 s after discovery knew of it and could be reached, also while calls fail.
-// Incidents: after a call that hung for 3.5 s the next one came up to 5 s later, and in a fleet of 100 the
-// first call came 6 s after the start. However calls fail, and however often, one that began just before
-// discovery was back leaves time for the next call and its response. So do the start of a process and a
-// stalled watch.
+// A sidecar counts as notified of a change 6 s after discovery knew of the change and could be reached, even
+// if calls fail. The next call and its response must fit into this time after a failed call that began just
+// before discovery could be reached again (however and however often calls fail), after the start of the
+// process and after a stalled watch. Guards against two faults: after a call that hung for 3.5 s the next one
+// came up to 5 s later, and in a fleet of 100 sidecars the first call came 6 s after the start.
 func TestNextPollPrecedesNotificationDeadline(t *testing.T) {
 	const deadline, responseTime, stallTime = 6000, 1000, 2500
-	worst := map[string]float64{} // latest time at which the list is known, by what came before
+	worst := map[string]float64{} // longest time in ms until the list is known, by the cause of the wait
 	record := func(cause string, knownAfter float64) {
 		worst[cause] = math.Max(worst[cause], knownAfter)
 	}
-	play := func(peers, seed int, cause string, failsAfter float64) {
+	simulate := func(peers, seed int, cause string, failsAfter float64) {
 		cfg := baseConfig()
 		cfg.Subscribe = true
 		cfg.Seed = uint64(seed)
@@ -194,7 +198,7 @@
 	for _, peers := range []int{1, 8, 80, 300, 1200} {
 		for seed := range 40 {
 			for cause, failsAfter := range failures {
-				play(peers, seed, cause, failsAfter)
+				simulate(peers, seed, cause, failsAfter)
 			}
 		}
 	}
@@ -205,8 +209,9 @@
 	}
 }
 
-// What a local agent knows counts as notified at once. So it is polled at the start, and after a failed call
-// again within the drain grace, however many sidecars there are and however often it failed.
+// A sidecar with a local agent counts as notified at once of what the agent knows. The agent must therefore
+// be polled at the start, and again within the drain grace after a failed call, however many sidecars there
+// are and however often calls failed.
 func TestLocalAgentIsPolledImmediately(t *testing.T) {
 	for grace, maxBackoff := range map[float64]float64{0: 1000, 300: 300, 5000: 1000} {
 		cfg := baseConfig()
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -1,12 +1,13 @@
 package balance
 
-// endpoint is what this sidecar knows of one endpoint.
+// endpoint is what this sidecar knows of one endpoint: its entry in the endpoint list and the balancer's
+// state.
 type endpoint struct {
 	Endpoint
 	rotation        rotationState
-	learnedCapacity float64 // logarithm, beyond what its machine type and zone have; see capacityModel
-	inFlight        int     // this sidecar's attempts
-	objectiveLoad   float64 // the same, each as one over the latency objective of its class
+	learnedCapacity float64 // log of the learned capacity factor of this endpoint alone; see capacityModel
+	inFlight        int     // this sidecar's attempts in flight
+	objectiveLoad   float64 // sum over these attempts of 1/(latency objective of the class), in 1/ms
 	outlier         outlierState
 	evidence        outlierEvidence
 	warmUp          warmUpState
@@ -14,25 +15,25 @@
 	gossip          endpointGossip
 }
 
-// rotationState is an endpoint's part in smooth weighted round robin.
+// rotationState is an endpoint's state in the smooth weighted round robin.
 type rotationState struct {
-	currentWeight float64 // grows by the weight in each pick, and falls when picked
-	weight        float64 // in the present pick; 0: not a candidate
-	loadKnown     bool    // in the present pick: its requests in flight are known as well as can be
+	currentWeight float64 // grows by weight with each pick; lowered when the endpoint is picked
+	weight        float64 // weight in the present pick; 0 if the endpoint is not a candidate
+	loadKnown     bool    // in the present pick: it has a fresh load report, or no candidate has one
 }
 
 // healthCheckState holds an endpoint's last load report, and whether a health check is pending.
 type healthCheckState struct {
-	pending         bool
-	inFlight        float64 // its requests in flight at the last report
-	reportedAt      float64
-	sentSinceReport float64 // attempts of this sidecar since
+	pending         bool    // a health check was started and has no result yet
+	inFlight        float64 // requests at the endpoint, by its last load report
+	reportedAt      float64 // time of the last load report, in ms; 0 if there was none
+	sentSinceReport float64 // attempts that this sidecar has sent since the last load report
 }
 
-// endpointGossip is the gossip about an endpoint, received and to be sent.
+// endpointGossip is what gossip has brought about an endpoint and what is to be sent about it.
 type endpointGossip struct {
-	inFlightFromPeers float64     // requests of other sidecars
-	announcedInFlight int         // this sidecar's, as in its last message
-	changed           bool        // the message that is being written has a change of it
-	observation       observation // since the last message
+	inFlightFromPeers float64     // requests that other sidecars have in flight at the endpoint
+	announcedInFlight int         // this sidecar's requests in flight, as its last message stated them
+	changed           bool        // the message being written tells peers something new of the endpoint
+	observation       observation // what this sidecar saw since its last message
 }
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -5,11 +5,13 @@
 	"sort"
 )
 
-// initialCurrentWeight bounds the random current weight of a new endpoint: sidecars that begin together must
-// not pick in step.
-const initialCurrentWeight = 100
+// maxInitialCurrentWeight is the upper bound, in units of endpoint weight, of the random current weight
+// with which a new endpoint enters the smooth weighted round robin. The randomness keeps sidecars that
+// start together from picking the same endpoints at the same time.
+const maxInitialCurrentWeight = 100
 
-// handleEndpointUpdate takes in the endpoint list, or polls discovery again where a watch has ended.
+// handleEndpointUpdate applies an endpoint list or a change of it, or calls discovery again after a call or
+// watch has ended or discovery has a new address.
 func (b *Balancer) handleEndpointUpdate(event EndpointUpdate) {
 	switch event.Kind {
 	case WatchFailed:
@@ -26,8 +28,9 @@
 	}
 }
 
+// applyEndpoints applies entries of the endpoint list and rebuilds what depends on the list.
 func (b *Balancer) applyEndpoints(entries []Endpoint) {
-	b.polls.succeeded()
+	b.polls.recordSuccess()
 	for i := range entries {
 		b.updateEndpoint(&entries[i])
 	}
@@ -36,7 +39,7 @@
 	b.subsets.rebuild(b.endpoints)
 }
 
-// markUnlistedRemoved marks what a whole list does not name.
+// markUnlistedRemoved marks the endpoints that a complete endpoint list does not contain as removed.
 func (b *Balancer) markUnlistedRemoved(entries []Endpoint) {
 	listed := make(map[EndpointID]bool, len(entries))
 	for i := range entries {
@@ -49,7 +52,8 @@
 	}
 }
 
-// updateEndpoint takes in one entry. A restart clears the endpoint's outlier state.
+// updateEndpoint applies one entry of the endpoint list. A restart, seen by a later start time, clears the
+// endpoint's outlier state and starts its warm-up. An unusable capacity is replaced by 1.
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
 	e := b.endpointByID[entry.ID]
 	if e == nil {
@@ -69,17 +73,18 @@
 	}
 }
 
+// addEndpoint adds an endpoint that is not warming up.
 func (b *Balancer) addEndpoint(id EndpointID) *endpoint {
 	e := &endpoint{
-		rotation: rotationState{currentWeight: initialCurrentWeight * b.random.float64()},
-		warmUp:   warmUpState{since: math.Inf(-1)},
+		rotation: rotationState{currentWeight: maxInitialCurrentWeight * b.random.float64()},
+		warmUp:   warmUpState{start: math.Inf(-1)},
 	}
 	b.endpointByID[id] = e
 	b.endpoints = append(b.endpoints, e)
 	return e
 }
 
-// dropRemoved forgets removed endpoints and sorts the others.
+// dropRemoved drops the removed endpoints and sorts the others by ID.
 func (b *Balancer) dropRemoved() {
 	kept := b.endpoints[:0]
 	for _, e := range b.endpoints {
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A draining endpoint gets no new attempts, and neither does one that a snapshot leaves out.
+// A draining endpoint and an endpoint that a snapshot does not list get no new attempts.
 func TestDrainingEndpointGetsNoNewAttempts(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	entry := newEndpoints(1)[0]
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -3,33 +3,51 @@
 import "math"
 
 const (
-	minGossipPeers    = 8    // sidecars: fewer see enough for themselves
-	gossipInterval    = 50   // ms between two messages of a sidecar, if anything changed
-	gossipRefresh     = 500  // ms after which unchanged state is sent again, as messages get lost
-	gossipExpiry      = 1500 // ms after which a peer's last message counts no more
-	gossipTimeout     = 400  // ms without any message, after which a sidecar goes by its own requests
-	gossipRangeFactor = 2    // least subsets that a sidecar receives gossip on: some endpoints may be ejected
+	// minGossipPeers is the number of sidecars, this one included, from which on they send each other
+	// gossip. In smaller fleets each sidecar sees enough of the endpoints by itself.
+	minGossipPeers = 8
+
+	// gossipInterval is the mean time in ms between two gossip messages of a sidecar. A message without any
+	// change for its receivers is not sent.
+	gossipInterval = 50
+
+	// gossipRefresh is the time in ms after which a sidecar gossips its requests in flight again although
+	// they have not changed, because messages can be lost.
+	gossipRefresh = 500
+
+	// gossipExpiry is the time in ms after which the last gossip message of a peer (another sidecar) is no
+	// longer used. A message whose clock differs from this sidecar's by more than gossipExpiry is dropped.
+	gossipExpiry = 1500
+
+	// gossipTimeout is the time in ms without gossip from any peer (another sidecar) after which a sidecar
+	// relies on its own requests alone.
+	gossipTimeout = 400
+
+	// minGossipScopeFactor is the least number of endpoints about which a sidecar receives gossip, as a
+	// multiple of its smallest subset. It is above 1 because a subset grows while some of its endpoints are
+	// ejected.
+	minGossipScopeFactor = 2
 )
 
-// gossipState is what this sidecar heard from its peers. Each sidecar has so few requests that alone it
-// learns too late which endpoints fail and how full they are.
+// gossipState is what this sidecar has received from its peers. A single sidecar has so few requests that
+// alone it would learn too late which endpoints fail and how loaded they are.
 type gossipState struct {
-	peers          map[int]*peer
-	lastReceivedAt float64
-	refreshAt      float64 // when unchanged state is sent again
-	endpointByTag  map[uint16]*endpoint
-	scopeBuffer    []*endpoint
+	peers          map[int]*peer        // by peer index; peers that have sent a valid message
+	lastReceivedAt float64              // time of the last message of any peer, in ms; 0 if there was none
+	refreshAt      float64              // when unchanged requests in flight are sent again, in ms
+	endpointByTag  map[uint16]*endpoint // by gossipTag; nil where endpoints share a tag
+	scopeBuffer    []*endpoint          // reused by gossipScope
 }
 
-// peer is another sidecar's last message.
+// peer is what the last message of another sidecar said.
 type peer struct {
-	clock      uint32
-	receivedAt float64
-	subsetSize int
-	inFlight   []peerInFlight
+	clock      uint32         // the sender's clock, in ms modulo 2^32
+	receivedAt float64        // on this sidecar's clock, in ms
+	subsetSize int            // number of endpoints that the sender uses
+	inFlight   []peerInFlight // the sender's requests in flight
 }
 
-// peerInFlight is how many requests a peer has at an endpoint.
+// peerInFlight is the number of requests that a peer has in flight at an endpoint.
 type peerInFlight struct {
 	endpoint *endpoint
 	count    float64
@@ -37,18 +55,18 @@
 
 func newGossipState() gossipState { return gossipState{peers: map[int]*peer{}} }
 
-// gossipEnabled reports whether sidecars send each other gossip.
+// gossipEnabled reports whether sidecars send each other gossip: if they may and there are enough of them.
 func (c *Config) gossipEnabled() bool { return c.Gossip && c.PeerCount >= minGossipPeers }
 
-// fresh reports whether peers are being heard.
+// fresh reports whether a message of any peer came within gossipTimeout.
 func (g *gossipState) fresh(now float64) bool {
 	return g.lastReceivedAt > 0 && now-g.lastReceivedAt < gossipTimeout
 }
 
-// lost reports whether peers were heard once, and are no more.
+// lost reports whether messages came once but none came within gossipTimeout.
 func (g *gossipState) lost(now float64) bool { return g.lastReceivedAt > 0 && !g.fresh(now) }
 
-// indexTags keeps which endpoint a tag means. Where two endpoints share one, it means neither.
+// indexTags maps each tag to its endpoint. A tag that several endpoints share is mapped to none of them.
 func (g *gossipState) indexTags(endpoints []*endpoint) {
 	g.endpointByTag = make(map[uint16]*endpoint, len(endpoints))
 	for _, e := range endpoints {
@@ -61,7 +79,8 @@
 	}
 }
 
-// expirePeers takes back the requests in flight of peers that were not heard for long: they may be gone.
+// expirePeers drops the requests in flight of peers whose last message has expired. Such a peer may have
+// died.
 func (g *gossipState) expirePeers(now float64) {
 	for _, p := range g.peers {
 		if now-p.receivedAt > gossipExpiry {
@@ -70,7 +89,8 @@
 	}
 }
 
-// replaceInFlight puts a peer's present requests in flight in place of those of its message before.
+// replaceInFlight replaces a peer's requests in flight, as its previous message gave them, by the present
+// ones.
 func (p *peer) replaceInFlight(present []peerInFlight) {
 	for _, flight := range p.inFlight {
 		flight.endpoint.gossip.inFlightFromPeers -= flight.count
@@ -81,10 +101,11 @@
 	p.inFlight = present
 }
 
-// gossipClock is this sidecar's clock as messages carry it.
+// gossipClock returns this sidecar's clock as messages carry it, in ms modulo 2^32.
 func (b *Balancer) gossipClock() uint32 { return uint32(uint64(b.now)) }
 
-// scheduleGossip sets the timer of the next message, at a random point so that sidecars do not send in step.
+// scheduleGossip sets the timer for the next message. The delay is random, so that sidecars do not all send
+// at the same time.
 func (b *Balancer) scheduleGossip() {
 	if b.cfg.gossipEnabled() {
 		delay := gossipInterval * (0.5 + b.random.float64())
@@ -92,8 +113,8 @@
 	}
 }
 
-// sendGossip sends peers this sidecar's requests in flight by endpoint, and what it observed since its last
-// message.
+// sendGossip sends to peers this sidecar's requests in flight by endpoint, and what it observed at
+// endpoints since its last message.
 func (b *Balancer) sendGossip() {
 	b.gossip.expirePeers(b.now)
 	b.updateConcurrencyLimit()
@@ -107,15 +128,16 @@
 		b.gossip.refreshAt = b.now + gossipRefresh
 	}
 	for _, e := range b.endpoints {
-		data = e.announce(data, refresh)
+		data = e.appendGossip(data, refresh)
 	}
 	b.multicast(data)
 	b.scheduleGossip()
 }
 
-// announce appends an endpoint's entry if there is anything to send, and marks the endpoint if that changed.
-func (e *endpoint) announce(data []byte, refresh bool) []byte {
-	inFlight, seen := min(e.inFlight, maxAnnounced), e.gossip.observation
+// appendGossip appends the endpoint's entry if there is anything to send and the message has room for it.
+// It marks the endpoint as changed if the entry tells peers something new or is due for a refresh.
+func (e *endpoint) appendGossip(data []byte, refresh bool) []byte {
+	inFlight, seen := min(e.inFlight, maxAnnouncedInFlight), e.gossip.observation
 	changed := inFlight != e.gossip.announcedInFlight || seen != (observation{})
 	e.gossip.changed = changed || refresh && inFlight > 0
 	e.gossip.announcedInFlight = 0
@@ -127,8 +149,9 @@
 	return appendGossipEntry(data, gossipEntry{tag: gossipTag(e.ID), inFlight: inFlight, seen: seen})
 }
 
-// multicast sends a message to the sidecars that may use an endpoint that changed: each message costs its
-// receiver something, and entries on other endpoints are of no use to it.
+// multicast sends a message to the peers that may use an endpoint that changed. Other peers do not get the
+// message: it would cost them something, and they have no use for entries on endpoints that they do not use.
+// A message to all peers is sent as one broadcast.
 func (b *Balancer) multicast(data []byte) {
 	first := len(b.actions)
 	for peer := range b.cfg.PeerCount {
@@ -141,14 +164,14 @@
 	}
 }
 
-// isInterested reports whether a peer may use an endpoint that changed, by its place on the ring.
+// isInterested reports whether a peer may use an endpoint that changed, by the peer's position on the ring.
 func (b *Balancer) isInterested(peer int) bool {
-	reach := b.gossipRange()
+	scopeSize := b.minGossipScope()
 	if p := b.gossip.peers[peer]; p != nil {
-		reach = max(reach, p.subsetSize)
+		scopeSize = max(scopeSize, p.subsetSize)
 	}
 	ring, start := b.subsets.position(peer, len(b.endpoints))
-	for i := range min(reach, len(ring)) {
+	for i := range min(scopeSize, len(ring)) {
 		if ring[(start+i)%len(ring)].gossip.changed {
 			return true
 		}
@@ -156,28 +179,30 @@
 	return false
 }
 
-// gossipRange is how many endpoints from its place on the ring a sidecar receives gossip on at the least.
-func (b *Balancer) gossipRange() int {
-	return gossipRangeFactor * int(math.Ceil(b.subsets.minSize(len(b.endpoints))))
+// minGossipScope returns the least number of endpoints, from a sidecar's position on the ring onwards, about
+// which the sidecar receives gossip.
+func (b *Balancer) minGossipScope() int {
+	return minGossipScopeFactor * int(math.Ceil(b.subsets.minSize(len(b.endpoints))))
 }
 
-// gossipScope is the endpoints that this sidecar receives gossip on.
+// gossipScope returns the endpoints about which this sidecar receives gossip. The result is valid until the
+// next call.
 func (b *Balancer) gossipScope() []*endpoint {
-	reach := max(b.gossipRange(), len(b.subset()))
-	if reach >= len(b.endpoints) {
+	scopeSize := max(b.minGossipScope(), len(b.subset()))
+	if scopeSize >= len(b.endpoints) {
 		return b.endpoints
 	}
 	ring, start := b.subsets.position(b.cfg.PeerIndex, len(b.endpoints))
 	scope := b.gossip.scopeBuffer[:0]
-	for i := range reach {
+	for i := range scopeSize {
 		scope = append(scope, ring[(start+i)%len(ring)])
 	}
 	b.gossip.scopeBuffer = scope
 	return scope
 }
 
-// handleGossip takes in a peer's message. What is malformed, old, a duplicate or of an unknown sender is
-// dropped.
+// handleGossip applies a peer's message. A message that is malformed, old, a duplicate or of an unknown
+// sender is dropped and counted.
 func (b *Balancer) handleGossip(event GossipMessage) {
 	if event.Sender == b.cfg.PeerIndex {
 		return
@@ -201,8 +226,9 @@
 	p.replaceInFlight(b.mergeGossipEntries(event.Sender, entries))
 }
 
-// isNewGossip compares the clock of a message, which wraps around, with this sidecar's and with the last
-// message's.
+// isNewGossip reports whether a message is recent and newer than the sender's last one. It compares the
+// clock of the message, which wraps around, with this sidecar's clock and with that of the sender's last
+// message.
 func (b *Balancer) isNewGossip(sender int, clock uint32) bool {
 	age := int32(b.gossipClock() - clock)
 	if age > gossipExpiry || age < -gossipExpiry {
@@ -212,7 +238,7 @@
 	return p == nil || int32(clock-p.clock) > 0
 }
 
-// mergeGossipEntries takes in what a peer saw, and returns what it has in flight.
+// mergeGossipEntries applies what a peer saw at endpoints, and returns the peer's requests in flight.
 func (b *Balancer) mergeGossipEntries(sender int, entries []byte) []peerInFlight {
 	var inFlight []peerInFlight
 	for ; len(entries) > 0; entries = entries[gossipEntrySize:] {
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -10,54 +10,78 @@
 //
 //	header  u8  version
 //	        u32 the sender's clock in milliseconds, modulo 2^32
-//	        u8  how many endpoints the sender uses
-//	        u8  how many responses it had since its last message
-//	        u8  their mean latency, in latencyUnitsPerObjective
-//	        u8  the least mean latency that it knows of, likewise
+//	        u8  the number of endpoints that the sender uses
+//	        u8  the number of responses that the sender got since its last message
+//	        u8  the mean latency of these responses, in 1/latencyUnitsPerObjective of the latency objective
+//	        u8  the lowest mean latency that the sender knows of, in the same unit
 //	entry   u16 the endpoint's tag, see gossipTag
-//	        u8  the sender's requests in flight there (high four bits), whether it responded
-//	            (respondedFlag), whether a connection failed (unreachableFlag) and how often it failed
-//	            (low two bits)
+//	        u8  bit fields: the sender's requests in flight at the endpoint (high four bits), whether the
+//	            endpoint responded after failures (respondedFlag), whether a connection attempt failed
+//	            (unreachableFlag), the number of failures (low two bits)
 //
-// There is an entry for each endpoint at which the sender has requests, or that failed or came back since its
-// last message. Messages of other versions are dropped.
+// There is an entry for each endpoint at which the sender has requests in flight, or that failed or recovered
+// since the sender's last message. Messages of other versions are dropped.
 const (
-	gossipVersion        = 3
-	gossipHeaderSize     = 9
-	gossipEntrySize      = 3
-	maxGossipSize        = 256 // bytes, by the protocol
-	maxAnnounced         = 15  // requests in flight that an entry can hold
-	inFlightShift        = 4
-	respondedFlag        = 8
-	unreachableFlag      = 4
+	// gossipVersion is the version of the gossip encoding, the first byte of each message.
+	gossipVersion = 3
+
+	// gossipHeaderSize is the size of the header of a gossip message, in bytes.
+	gossipHeaderSize = 9
+
+	// gossipEntrySize is the size of a gossip message's entry on one endpoint, in bytes.
+	gossipEntrySize = 3
+
+	// maxGossipSize is the largest gossip message that the protocol permits, in bytes.
+	maxGossipSize = 256
+
+	// maxAnnouncedInFlight is the largest number of requests in flight at an endpoint that a gossip entry
+	// can state; the field has four bits.
+	maxAnnouncedInFlight = 15
+
+	// inFlightShift is the position, in bits, of the requests in flight in the last byte of a gossip entry.
+	inFlightShift = 4
+
+	// respondedFlag is the bit in the last byte of a gossip entry that says that the endpoint responded
+	// after failures.
+	respondedFlag = 8
+
+	// unreachableFlag is the bit in the last byte of a gossip entry that says that a connection attempt to
+	// the endpoint failed.
+	unreachableFlag = 4
+
+	// maxAnnouncedFailures is the largest number of failures of an endpoint that a gossip entry can state,
+	// and the mask of this field, the bits below unreachableFlag in the last byte.
 	maxAnnouncedFailures = unreachableFlag - 1
 )
 
 var (
-	errGossipSize    = errors.New("gossip message of invalid size")
-	errGossipVersion = errors.New("gossip message of another version")
+	errGossipSize    = errors.New("gossip message has an invalid size")
+	errGossipVersion = errors.New("gossip message has an unsupported version")
 )
 
-// gossipHeader is the part of a message on its sender.
+// gossipHeader is the part of a gossip message about its sender.
 type gossipHeader struct {
-	clock      uint32
-	subsetSize uint8
+	clock      uint32 // the sender's clock, in ms modulo 2^32
+	subsetSize uint8  // number of endpoints that the sender uses
 	latency    latencyReport
 }
 
-// gossipEntry is the part of a message on one endpoint.
+// gossipEntry is the part of a gossip message about one endpoint.
 type gossipEntry struct {
-	tag      uint16
-	inFlight int
-	seen     observation
+	tag      uint16      // see gossipTag
+	inFlight int         // the sender's requests in flight at the endpoint
+	seen     observation // what the sender saw of the endpoint since its last message
 }
 
+// appendGossipHeader appends the encoded header of a message to data.
 func appendGossipHeader(data []byte, h gossipHeader) []byte {
 	data = append(data, gossipVersion)
 	data = binary.BigEndian.AppendUint32(data, h.clock)
 	return append(data, h.subsetSize, h.latency.samples, h.latency.mean, h.latency.baseline)
 }
 
+// appendGossipEntry appends an encoded entry to data. The entry's inFlight must not exceed
+// maxAnnouncedInFlight; more failures than maxAnnouncedFailures are encoded as maxAnnouncedFailures.
 func appendGossipEntry(data []byte, entry gossipEntry) []byte {
 	bits := uint8(entry.inFlight)<<inFlightShift | uint8(math.Min(entry.seen.failures, maxAnnouncedFailures))
 	if entry.seen.responded {
@@ -70,7 +94,7 @@
 	return append(data, bits)
 }
 
-// parseGossip splits a message into its header and the bytes of its entries.
+// parseGossip checks a message's size and version and splits it into its header and its encoded entries.
 func parseGossip(data []byte) (h gossipHeader, entries []byte, err error) {
 	if len(data) < gossipHeaderSize || len(data) > maxGossipSize ||
 		(len(data)-gossipHeaderSize)%gossipEntrySize != 0 {
@@ -85,7 +109,7 @@
 	return h, data[gossipHeaderSize:], nil
 }
 
-// parseGossipEntry reads the first of the entries.
+// parseGossipEntry decodes the first of the encoded entries.
 func parseGossipEntry(entries []byte) gossipEntry {
 	bits := entries[2]
 	return gossipEntry{
@@ -99,5 +123,6 @@
 	}
 }
 
-// gossipTag names an endpoint in messages; endpoint IDs are the same at every sidecar.
+// gossipTag returns a short hash of an endpoint's ID, which stands for the endpoint in messages. All
+// sidecars get the same tag, because all know the endpoint by the same ID.
 func gossipTag(id EndpointID) uint16 { return uint16(mix64(uint64(id))) }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// gossipConfig is the configuration of one of 40 sidecars that may gossip.
+// gossipConfig returns the configuration of one of 40 sidecars that may send gossip.
 func gossipConfig(peerIndex int) Config {
 	cfg := baseConfig()
 	cfg.Gossip = true
@@ -49,14 +49,14 @@
 	return receivers
 }
 
-// receiveFailures delivers gossip of a peer that saw a number of failures at an endpoint.
+// receiveFailures delivers gossip of a peer that saw a number of errors at an endpoint.
 func (h *harness) receiveFailures(sender int, e *endpoint, count int) {
 	h.t.Helper()
 	h.receiveConnectionFailures(sender, e, count, false)
 }
 
 // receiveConnectionFailures delivers gossip of a peer that saw a number of failures at an endpoint: failed
-// connections if unreachable is set, else errors.
+// connection attempts if unreachable is set, other errors if not.
 func (h *harness) receiveConnectionFailures(sender int, e *endpoint, count int, unreachable bool) {
 	h.t.Helper()
 	peer, peerEndpoint := h.newPeer(sender, e)
@@ -75,7 +75,7 @@
 	h.handle(GossipMessage{Sender: sender, Data: peer.sentGossip()})
 }
 
-// newPeer returns another sidecar with the same endpoints and clock, and its view of an endpoint.
+// newPeer returns another sidecar with the same endpoints and clock, and its state of the given endpoint.
 func (h *harness) newPeer(peerIndex int, e *endpoint) (*harness, *endpoint) {
 	h.t.Helper()
 	var endpoints []Endpoint
@@ -88,9 +88,10 @@
 	return peer, peer.b.endpointByID[e.ID]
 }
 
-// Incident: each of 300 sidecars received gossip of all others, few of which used any of its endpoints, and
-// paid for every message. A message goes to the sidecars that use an endpoint it names, and to those that
-// received the one before and would keep what that said.
+// A message goes to the sidecars that use an endpoint it contains, and to those that received the previous
+// message and would otherwise keep the state that it gave. Guards against needless cost: each message costs
+// its receiver something, and each of 300 sidecars received gossip of all others, few of which used any of
+// its endpoints.
 func TestGossipGoesToInterestedPeersOnly(t *testing.T) {
 	const peers = 300
 	config := func(peerIndex int) Config {
@@ -117,15 +118,16 @@
 	}
 	busy.inFlight = 0
 	if second := h.gossipReceivers(); len(second) != len(first) {
-		t.Errorf("the start of a request was sent to %d sidecars, its end to %d", len(first), len(second))
+		t.Errorf("gossip about a request went to %d sidecars at its start and to %d at its end, want equal",
+			len(first), len(second))
 	}
 	if third := h.gossipReceivers(); len(third) > 0 {
 		t.Errorf("gossip without changes went to %d sidecars, want none", len(third))
 	}
 }
 
-// Requests that stay in flight are no change, but messages get lost, so they are gossiped again: after a
-// while and not with each message.
+// Unchanged requests in flight are gossiped again, because messages can be lost, but only after gossipRefresh
+// and not at each gossip timer.
 func TestGossipIsRefreshedPeriodically(t *testing.T) {
 	h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
 	h.b.endpoints[2].inFlight = 3
@@ -146,15 +148,15 @@
 	}
 }
 
-// A sidecar that uses more endpoints than others, as it is busy or some are ejected, receives gossip about
-// those too once its own messages say so.
+// A sidecar that uses more endpoints than others, because it is busy or some endpoints are ejected, receives
+// gossip about all of them once its own messages state the size of its subset.
 func TestBusySidecarsReceiveWiderGossip(t *testing.T) {
 	const busyPeer = 9
 	cfg := gossipConfig(0)
 	cfg.PeerCount = 300
 	h := newHarness(t, cfg, newEndpoints(200)...)
 	ring, start := h.b.subsets.position(busyPeer, len(h.b.endpoints))
-	far := ring[(start+h.b.gossipRange()+3)%len(ring)]
+	far := ring[(start+h.b.minGossipScope()+3)%len(ring)]
 	far.inFlight = 1
 	before := h.sendsGossipTo(busyPeer)
 
@@ -174,7 +176,7 @@
 	}
 }
 
-// An invalid message is dropped as a whole and changes nothing.
+// An invalid or duplicate message is dropped as a whole and changes nothing.
 func TestInvalidGossipIsDropped(t *testing.T) {
 	peer := newHarness(t, gossipConfig(1), newEndpoints(4)...)
 	for _, e := range peer.b.endpoints {
@@ -211,10 +213,10 @@
 			}
 		})
 	}
-	h := newHarness(t, gossipConfig(0), newEndpoints(2)...) // it knows only two of the four endpoints
+	h := newHarness(t, gossipConfig(0), newEndpoints(2)...) // knows only two of the sender's four endpoints
 	h.handle(GossipMessage{Sender: 1, Data: valid})
 	h.handle(GossipMessage{Sender: 1, Data: valid})
-	h.handle(GossipMessage{Sender: 0, Data: valid}) // its own sender index
+	h.handle(GossipMessage{Sender: 0, Data: valid}) // the receiver's own peer index
 	stats := h.b.Stats()
 	inFlight := h.b.endpoints[0].gossip.inFlightFromPeers
 	if stats.GossipReceived != 1 || stats.GossipDropped != 1 || inFlight != 9 || len(h.b.endpoints) != 2 {
@@ -224,8 +226,8 @@
 	}
 }
 
-// Each message costs its receiver something: nothing is sent where gossip is disabled, by too few sidecars,
-// or without changes.
+// Each message costs its receiver something, so nothing is sent if gossip is disabled, if there are too few
+// sidecars, or if nothing has changed.
 func TestOnlyChangesAreGossiped(t *testing.T) {
 	for name, tune := range map[string]func(*Config){
 		"gossip disabled": func(cfg *Config) { cfg.Gossip = false },
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -6,32 +6,57 @@
 )
 
 const (
-	healthCheckSpend   = 0.03 // part of the service level that the checks before a request may cost
+	// healthCheckBudget is the largest penalty that the health checks before one request may cost together,
+	// as a fraction of the service level.
+	healthCheckBudget = 0.03
+
+	// minHealthCheckCost is a lower bound for the penalty of one health check, as a fraction of the service
+	// level. It avoids a division by zero and bounds the number of checks where checks have no penalty.
 	minHealthCheckCost = 1e-3
-	healthCheckWait    = 0.05 // of the objective that a first attempt waits for checks
-	reportFreshness    = 0.05 // of the longest objective for which load reports are believed
-	allBusyProbability = 0.01 // that all checked endpoints are busy, at which no more are checked
-	minBusyFraction    = 0.01
-	maxBusyFraction    = 0.99
-	busySamples        = 50 // reports over which the busy fraction is taken
+
+	// maxHealthCheckWait is the longest time for which the first attempt of a request waits for health
+	// checks, as a fraction of the latency objective of the request's class.
+	maxHealthCheckWait = 0.05
+
+	// loadReportLifetime is the age up to which an endpoint's load report is used, as a fraction of the
+	// longest latency objective of all classes.
+	loadReportLifetime = 0.05
+
+	// maxAllBusyProbability is the highest acceptable probability that all endpoints checked before a
+	// request turn out busy. It determines how many endpoints are checked.
+	maxAllBusyProbability = 0.01
+
+	// minBusyFraction is a lower bound for the estimated fraction of endpoints that are busy (have any
+	// request in flight). It keeps the logarithm of the fraction finite.
+	minBusyFraction = 0.01
+
+	// maxBusyFraction is an upper bound for the estimated fraction of endpoints that are busy (have any
+	// request in flight). It keeps the logarithm of the fraction, a divisor, away from zero.
+	maxBusyFraction = 0.99
+
+	// busyFractionSamples is the number of load reports over which the fraction of busy endpoints (those
+	// with any request in flight) is averaged, by an exponential moving average.
+	busyFractionSamples = 50
 )
 
-// healthChecker checks endpoints before a first attempt, where only health checks bring load reports.
+// healthChecker decides which endpoints to check before a request's first attempt. It is used where load
+// reports come in health check results only.
 type healthChecker struct {
-	busyFraction float64    // recent part of the checked endpoints that held any requests
-	waiting      []*request // for their checks
+	busyFraction float64    // recent fraction of the load reports that showed any request in flight
+	waiting      []*request // requests that wait for their health checks
 }
 
-// fanout is how many endpoints to check so that hardly ever all of them are busy, within what checks may
-// cost.
+// fanout returns how many endpoints to check before a request, so that it is unlikely that all of them are
+// busy. The cost is the penalty of one health check; the budget for health checks bounds the result.
 func (h *healthChecker) fanout(cost float64) int {
-	affordable := healthCheckSpend / math.Max(cost, minHealthCheckCost)
+	affordable := healthCheckBudget / math.Max(cost, minHealthCheckCost)
 	busy := clamp(h.busyFraction, minBusyFraction, maxBusyFraction)
-	wanted := math.Ceil(math.Log(allBusyProbability) / math.Log(busy))
+	wanted := math.Ceil(math.Log(maxAllBusyProbability) / math.Log(busy))
 	return int(math.Min(affordable, wanted))
 }
 
-// startHealthChecks checks the endpoints that are next in the rotation before a first attempt.
+// startHealthChecks starts the health checks before a request's first attempt, at the endpoints that are
+// next in the rotation. A check that is pending already serves this request too.
 func (b *Balancer) startHealthChecks(r *request) {
 	if !b.cfg.HealthChecks || b.cfg.ReportSource != ReportHealthCheck {
 		return
@@ -52,10 +77,12 @@
 	if len(r.checked) == 0 { // nothing to wait for, and no result that would end the wait
 		return
 	}
-	r.checksUntil = b.now + healthCheckWait*r.class.LatencyObjective
+	r.checksUntil = b.now + maxHealthCheckWait*r.class.LatencyObjective
 	b.healthChecks.waiting = append(b.healthChecks.waiting, r)
 }
 
+// nextToCheck returns the endpoint of the pool that is next in the rotation, is eligible for the request,
+// not ejected and not among its checked endpoints. It returns nil if there is none.
 func (b *Balancer) nextToCheck(r *request, pool []*endpoint) *endpoint {
 	var next *endpoint
 	for _, e := range pool {
@@ -69,8 +96,8 @@
 	return next
 }
 
-// handleHealthCheckResult takes in a load report. An endpoint that does not respond may run, but nothing gets
-// through to it from here.
+// handleHealthCheckResult records the load report of a health check. An endpoint that did not respond is
+// ejected: its process may be running, but this sidecar cannot reach it.
 func (b *Balancer) handleHealthCheckResult(event HealthCheckResult) {
 	e := b.endpointByID[event.Endpoint]
 	if e == nil {
@@ -89,7 +116,7 @@
 	b.resumeWaiting()
 }
 
-// recordLoadReport takes in how many requests an endpoint holds.
+// recordLoadReport records how many requests an endpoint has in flight, if the report says so.
 func (b *Balancer) recordLoadReport(e *endpoint, report []float32) {
 	for i, field := range b.cfg.ReportFields {
 		if i >= len(report) || field != FieldInFlight {
@@ -98,16 +125,18 @@
 		if value := report[i]; value >= 0 && value <= math.MaxFloat32 {
 			e.check.inFlight, e.check.reportedAt, e.check.sentSinceReport = float64(value), b.now, 0
 			busy := math.Min(e.check.inFlight, 1)
-			b.healthChecks.busyFraction += (busy - b.healthChecks.busyFraction) / busySamples
+			b.healthChecks.busyFraction += (busy - b.healthChecks.busyFraction) / busyFractionSamples
 		}
 	}
 }
 
+// hasFreshReport reports whether the endpoint's last load report is recent enough to be used.
 func (b *Balancer) hasFreshReport(e *endpoint) bool {
-	return e.check.reportedAt > 0 && b.now-e.check.reportedAt <= reportFreshness*b.longestObjective
+	return e.check.reportedAt > 0 && b.now-e.check.reportedAt <= loadReportLifetime*b.longestObjective
 }
 
-// awaitsHealthChecks reports whether a request still waits for its health checks; it never waits for long.
+// awaitsHealthChecks reports whether a request still waits for its health checks. The wait ends with the
+// last result or at checksUntil, whichever comes first.
 func (b *Balancer) awaitsHealthChecks(r *request) bool {
 	for _, e := range r.checked {
 		if e.check.pending && b.now < r.checksUntil {
@@ -118,7 +147,7 @@
 	return false
 }
 
-// resumeWaiting looks at the requests that wait for health checks and keeps those that still do.
+// resumeWaiting advances the requests that wait for health checks and keeps those that still wait.
 func (b *Balancer) resumeWaiting() {
 	waiting := b.healthChecks.waiting
 	b.healthChecks.waiting = waiting[:0]
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// healthCheckConfig has load reports come by health checks only.
+// healthCheckConfig returns a configuration in which load reports come in health check results only.
 func healthCheckConfig() Config {
 	cfg := baseConfig()
 	cfg.HealthChecks = true
@@ -11,13 +11,13 @@
 	return cfg
 }
 
-// answerHealthChecks ends the health checks that the actions start: those of unreachable endpoints time out,
-// the others report the given number of requests in flight. It returns the actions that follow.
+// answerHealthChecks ends the health checks that the actions start. Checks of unreachable endpoints time out;
+// the others report the given number of requests in flight. It returns the resulting actions.
 func (h *harness) answerHealthChecks(
 	actions []Action, inFlight float32, unreachable map[EndpointID]bool,
 ) []Action {
 	h.t.Helper()
-	var following []Action
+	var resultingActions []Action
 	for _, a := range actions {
 		if a.Kind != HealthCheck {
 			continue
@@ -26,11 +26,12 @@
 		if unreachable[a.Endpoint] {
 			result = HealthCheckResult{Endpoint: a.Endpoint, Result: TimedOut}
 		}
-		following = append(following, h.handle(result)...)
+		resultingActions = append(resultingActions, h.handle(result)...)
 	}
-	return following
+	return resultingActions
 }
 
+// countHealthChecks returns how many health checks the actions start.
 func countHealthChecks(actions []Action) int {
 	n := 0
 	for _, a := range actions {
@@ -41,8 +42,9 @@
 	return n
 }
 
-// Incident: links were cut and most health checks lost, and the unreachable endpoints that were next in the
-// rotation were checked again for every request.
+// An unreachable endpoint is ejected after a health check and used again once it responds. Guards against
+// checking unreachable endpoints again for every request: this happened when links were cut, most health
+// checks got lost, and the unreachable endpoints stayed next in the rotation.
 func TestUnreachableEndpointsAreEjectedAndReturn(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	unreachable := map[EndpointID]bool{1: true, 2: true}
@@ -71,7 +73,8 @@
 	}
 }
 
-// A sidecar with little traffic cannot know from its own requests which endpoints others fill.
+// An endpoint whose health check reports many requests is passed over. A sidecar with little traffic cannot
+// see from its own requests which endpoints other sidecars keep busy.
 func TestQueuedEndpointIsSkippedAfterHealthCheck(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	h.b.endpoints[0].rotation.currentWeight = 1000 // next in the rotation
@@ -87,7 +90,7 @@
 	}
 }
 
-// A request waits for its health checks for a small part of its latency objective only.
+// A request waits for its health checks only for a small part of its latency objective.
 func TestWaitForHealthChecksIsBounded(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	id, _ := h.request(idempotentClass)
@@ -98,11 +101,11 @@
 	}
 }
 
-// Health checks cost. When endpoints are mostly idle a few checks find an idle one; when they are busy all
-// are checked.
+// Health checks lower the service level, so only a few are made while most endpoints are idle, as these find
+// an idle endpoint. When all endpoints are busy, all are checked.
 func TestHealthCheckFanoutFollowsBusyFraction(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(12)...)
-	fanoutWith := func(inFlight float32) int { // of the last of 60 requests
+	fanoutWith := func(inFlight float32) int { // fanout of the last of 60 requests
 		fanout := 0
 		for range 60 {
 			h.now += 10
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -1,38 +1,48 @@
 package balance
 
 const (
-	ejectionErrors       = 3 // consecutive errors before an endpoint is ejected
-	maxEjectionDoublings = 3 // ejections after which their time grows no more
-	deadFailedConnects   = 2 // failed connects after which an endpoint that lost a connection is dead
+	// consecutiveErrorsToEject is the number of consecutive errors of this sidecar's attempts at an
+	// endpoint after which the endpoint is ejected. A failed connection attempt ejects at once.
+	consecutiveErrorsToEject = 3
+
+	// maxEjectionDoublings is how many times the duration of an endpoint's ejection doubles at most, once
+	// for each earlier ejection since the endpoint's last response.
+	maxEjectionDoublings = 3
+
+	// failedConnectsToPresumeDead is the number of failed connection attempts after which the process of an
+	// endpoint that has also lost an open connection is presumed dead.
+	failedConnectsToPresumeDead = 2
 )
 
-// outlierState is what this sidecar's own attempts hold against an endpoint.
+// outlierState is the outlier detection state of one endpoint, as far as it comes from this sidecar's own
+// attempts and health checks.
 type outlierState struct {
-	consecutiveErrors float64
-	lastErrorAt       float64
-	ejectedUntil      float64 // 0: not ejected since the last response
-	ejections         int     // since the last response
+	consecutiveErrors float64 // errors since the last response
+	lastErrorAt       float64 // time of the last error, in ms
+	ejectedUntil      float64 // end of the last ejection, in ms; 0 if there was none since the last response
+	ejections         int     // ejections since the last response
 	unreachable       bool    // the last health check got no response
-	connectionLost    bool    // and no response came since
-	failedConnects    int     // since the last response
-	presumedDead      bool    // its process died, by what became of its connections
+	connectionLost    bool    // an open connection was reset and no response has come since
+	failedConnects    int     // failed connection attempts since the last response
+	presumedDead      bool    // the connection faults show that the endpoint's process died
 }
 
-// clear resets the state, as after a response or a restart.
+// clear resets the state after a response or a restart.
 func (o *outlierState) clear() { *o = outlierState{} }
 
-// ejected reports whether the endpoint gets no requests for now, as it left several attempts without a
-// response or is out of reach. Afterwards it takes its turn again.
+// ejected reports whether the endpoint is ejected, as several attempts got no response or it is unreachable.
+// It gets no requests then while other endpoints can take them. After the ejection it is used again.
 func (o *outlierState) ejected(now float64) bool { return now < o.ejectedUntil }
 
+// recordError counts one more consecutive error.
 func (o *outlierState) recordError(now float64) {
 	o.consecutiveErrors++
 	o.lastErrorAt = now
 }
 
-// recordConnectionFault distinguishes a process that died from a network fault: it lost its connections and
-// accepts no new ones. Either alone happens to live endpoints too, as full backlogs refuse and networks
-// reset.
+// recordConnectionFault detects a process that died: its connections are reset and it accepts no new ones.
+// Either fault alone also happens to live endpoints, since a full accept backlog refuses connections and a
+// faulty network resets them.
 func (o *outlierState) recordConnectionFault(result Result) {
 	switch result {
 	case Reset:
@@ -40,27 +50,29 @@
 	case ConnectFailed:
 		o.failedConnects++
 	}
-	o.presumedDead = o.connectionLost && o.failedConnects >= deadFailedConnects
+	o.presumedDead = o.connectionLost && o.failedConnects >= failedConnectsToPresumeDead
 }
 
-// recordError counts an error against an endpoint, which is ejected at once where no connection was made,
-// else after several.
+// recordError counts an error of an endpoint. A failed connection attempt ejects the endpoint at once;
+// other errors eject it after several in a row.
 func (b *Balancer) recordError(e *endpoint, connectFailed bool) {
 	e.outlier.recordError(b.now)
 	b.recordObservation(e, observation{failures: 1, unreachable: connectFailed})
 	b.learnCapacity(e, errorLatencyRatio)
-	if connectFailed || e.outlier.consecutiveErrors >= ejectionErrors {
+	if connectFailed || e.outlier.consecutiveErrors >= consecutiveErrorsToEject {
 		b.eject(e)
 	}
 }
 
-// eject takes an endpoint out of use, for longer each time.
+// eject ejects an endpoint. The ejection lasts for the longest latency objective of all classes, doubled
+// for each earlier ejection since the endpoint's last response.
 func (b *Balancer) eject(e *endpoint) {
 	e.outlier.ejectedUntil = b.now + b.longestObjective*doublings(e.outlier.ejections, maxEjectionDoublings)
 	e.outlier.ejections++
 }
 
-// mostEjected reports whether at least half of the endpoints are ejected: then it is hardly their own fault.
+// mostEjected reports whether at least half of the endpoints in the gossip scope are ejected. The cause is
+// then unlikely to lie in the endpoints themselves.
 func (b *Balancer) mostEjected() bool {
 	scope := b.gossipScope()
 	ejected := 0
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -3,37 +3,57 @@
 import "math"
 
 const (
-	evidenceExpiry        = 4000 // ms after which failures at an endpoint are forgotten
-	fleetEjectionFailures = 3    // that all sidecars saw before an endpoint is ejected
-	maxFleetFailures      = 6    // that count: an endpoint that is back must not stay ejected for long
-	failureDecay          = 0.7  // part of them that is left after each response
-	ejectionExtension     = 800  // ms at most for which an endpoint stays ejected, as it failed peers again
-	minExtensionPart      = 0.25 // of it at the least
+	// evidenceExpiry is the time in ms without any new observation of an endpoint after which the failures
+	// that sidecars saw there are forgotten.
+	evidenceExpiry = 4000
+
+	// fleetFailuresToEject is the number of failures at an endpoint, counted over all sidecars, from which
+	// on the endpoint is ejected, provided that more than one sidecar reported them.
+	fleetFailuresToEject = 3
+
+	// maxFleetFailures is the number of failures of all sidecars at one endpoint that are counted at most.
+	// The bound keeps an endpoint that works again from staying ejected for long.
+	maxFleetFailures = 6
+
+	// failureDecayFactor is the factor by which the count of failures that all sidecars saw at an endpoint
+	// shrinks with each response of the endpoint.
+	failureDecayFactor = 0.7
+
+	// maxEjectionExtension is the longest time in ms, from another sidecar's report of a new failure, to
+	// which the report extends the ejection of an endpoint that is ejected already.
+	maxEjectionExtension = 800
+
+	// minExtensionRatio is the shortest extension of an ejection, as a fraction of maxEjectionExtension.
+	// The extension is drawn at random between the two.
+	minExtensionRatio = 0.25
 )
 
-// outlierEvidence is what all sidecars that were heard, this one included, lately saw of an endpoint.
+// outlierEvidence is what all sidecars, as far as this one has their gossip, recently saw of one endpoint.
+// It includes this sidecar's own observations.
 type outlierEvidence struct {
-	failures     float64 // fewer with each response
-	updatedAt    float64
-	lastReporter int  // the peer index of the sidecar that reported the last one
-	corroborated bool // more than one sidecar reported them
-	unreachable  bool // some of them made no connection
+	failures     float64 // recent failures; reduced by each response
+	updatedAt    float64 // last update, in ms
+	lastReporter int     // peer index of the sidecar that reported the last failure
+	corroborated bool    // more than one sidecar reported failures
+	unreachable  bool    // at least one failure was a failed connection attempt
 }
 
-// observation is what one sidecar saw of an endpoint.
+// observation is what one sidecar saw of one endpoint.
 type observation struct {
-	failures    float64
-	responded   bool
-	unreachable bool // a connection failed
+	failures    float64 // number of failures
+	responded   bool    // at least one response came
+	unreachable bool    // at least one failure was a failed connection attempt
 }
 
-func (v *outlierEvidence) refresh(now float64) {
+// expire drops evidence that is too old and marks the rest as updated now.
+func (v *outlierEvidence) expire(now float64) {
 	if now-v.updatedAt > evidenceExpiry {
 		*v = outlierEvidence{}
 	}
 	v.updatedAt = now
 }
 
+// addFailures adds the failures that a sidecar, given by its peer index, has seen.
 func (v *outlierEvidence) addFailures(reporter int, seen observation) {
 	if seen.failures <= 0 {
 		return
@@ -44,16 +64,18 @@
 	v.unreachable = v.unreachable || seen.unreachable
 }
 
-// failing reports whether more than one sidecar lately got hardly anything but failures.
+// failing reports whether more than one sidecar recently saw failures, with hardly any responses in
+// between.
 func (v *outlierEvidence) failing(now float64) bool {
-	return v.failures >= fleetEjectionFailures && v.corroborated && now-v.updatedAt <= evidenceExpiry
+	return v.failures >= fleetFailuresToEject && v.corroborated && now-v.updatedAt <= evidenceExpiry
 }
 
-// down reports whether the endpoint fails and takes no connections: its process died.
+// down reports whether the endpoint's process appears to have died: the endpoint is failing and at least
+// one connection attempt failed.
 func (v *outlierEvidence) down(now float64) bool { return v.unreachable && v.failing(now) }
 
-// recordObservation takes in what this sidecar saw, for itself and for gossip. A response is reported
-// after failures only.
+// recordObservation records what this sidecar saw of an endpoint, both for its own use and for its next
+// gossip message. Responses are gossiped only if failures preceded them.
 func (b *Balancer) recordObservation(e *endpoint, seen observation) {
 	pending := &e.gossip.observation
 	pending.failures += seen.failures
@@ -62,30 +84,30 @@
 	b.mergeObservation(e, b.cfg.PeerIndex, seen)
 }
 
-// mergeObservation adds to the evidence on an endpoint. An endpoint that failed more than one sidecar
-// is ejected before this one has sent it anything, and stays so while it fails others; once it responds to
-// others it is used again.
+// mergeObservation adds what a sidecar, given by its peer index, saw of an endpoint to the evidence. An
+// endpoint at which more than one sidecar saw failures is ejected even if this sidecar has sent it nothing.
+// It stays ejected while peers report failures, and is used again once peers report responses.
 func (b *Balancer) mergeObservation(e *endpoint, reporter int, seen observation) {
-	e.evidence.refresh(b.now)
+	e.evidence.expire(b.now)
 	e.evidence.addFailures(reporter, seen)
 	wasDown := e.evidence.down(b.now)
 	if seen.responded {
-		e.evidence.failures *= failureDecay
+		e.evidence.failures *= failureDecayFactor
 	}
 	if reporter != b.cfg.PeerIndex {
-		b.followPeers(e, seen)
+		b.applyPeerObservation(e, seen)
 	}
 	if wasDown && !e.evidence.down(b.now) && !b.slowStart.warmingUp(e, b.now) {
-		b.beginSlowStart(e, b.now) // discovery has yet to report the restart
+		b.beginSlowStart(e, b.now) // discovery has not reported the restart yet
 	}
 }
 
-// followPeers ejects an endpoint, or ends its ejection, by what peers saw.
-func (b *Balancer) followPeers(e *endpoint, seen observation) {
+// applyPeerObservation ejects an endpoint, or extends or ends its ejection, after a peer's observation.
+func (b *Balancer) applyPeerObservation(e *endpoint, seen observation) {
 	failing, failed, ejected := e.evidence.failing(b.now), seen.failures > 0, e.outlier.ejected(b.now)
 	switch {
 	case failing && failed && ejected:
-		extension := ejectionExtension * (minExtensionPart + (1-minExtensionPart)*b.random.float64())
+		extension := maxEjectionExtension * (minExtensionRatio + (1-minExtensionRatio)*b.random.float64())
 		e.outlier.ejectedUntil = math.Max(e.outlier.ejectedUntil, b.now+extension)
 	case failing && failed && !b.mostEjected():
 		b.eject(e)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Incident: each of 80 sidecars learned on its own that an endpoint was dead, and lost some requests there.
-// Failures that two peers saw eject an endpoint, and responses to peers end the ejection: no single sidecar
-// can eject an endpoint, or keep it ejected.
+// Failures that two peers saw eject an endpoint, and responses to peers end the ejection. A single peer can
+// neither eject an endpoint nor keep it ejected. Guards against the loss of some requests at each sidecar
+// of a fleet: each of 80 sidecars had to learn from its own failed requests that an endpoint was dead.
 func TestEndpointsFailingForPeersAreEjected(t *testing.T) {
 	h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
 	e := h.b.endpoints[3]
@@ -24,7 +24,8 @@
 	}
 }
 
-// Where most endpoints fail, the cause is hardly a single one of them.
+// Gossip must not eject more than half of the endpoints: where most fail, the cause is unlikely to lie in
+// them.
 func TestGossipEjectsAtMostHalfOfEndpoints(t *testing.T) {
 	h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
 	ejected := 0
@@ -42,8 +43,9 @@
 	}
 }
 
-// In a congested fleet all responses are late, which is no endpoint's fault. Once the class is known to take
-// long, an attempt of 430 ms with a latency objective of 300 ms is no error.
+// Guards against counting congestion as errors of endpoints: in a congested fleet all responses are late.
+// Once the responses of a class are known to be slow, an attempt of 430 ms with a latency objective of 300 ms
+// is no error, but an attempt far slower than all others is one.
 func TestLatenessUnderCongestionIsNoError(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	latencies := []float64{370, 430, 400}
@@ -69,7 +71,7 @@
 	r := h.b.requests[id]
 	h.now = r.wakeAt
 	if h.now >= r.deadline {
-		t.Fatal("no timer for the attempt before its deadline")
+		t.Fatal("no timer for the attempt before the request's deadline")
 	}
 	h.handle(Timer{Token: uint64(id)})
 	if a := r.attempts[0]; !a.overdue || a.endpoint.outlier.consecutiveErrors != 1 {
@@ -78,7 +80,7 @@
 	}
 }
 
-// A restart clears the outlier state of an endpoint: its ejections, and that it was unreachable.
+// A restart clears the outlier state of an endpoint, including its ejections and that it was unreachable.
 func TestRestartClearsOutlierState(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	e := h.b.endpoints[0]
@@ -95,20 +97,20 @@
 	}
 }
 
-// An endpoint is ejected after several consecutive errors, gets no requests while it is, and is in full use
-// again after a response.
+// An endpoint is ejected after several consecutive errors and gets no requests while it is ejected. After its
+// next response it is used as before.
 func TestConsecutiveErrorsEjectAnEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	e := h.b.endpoints[0]
-	for range ejectionErrors - 1 {
+	for range consecutiveErrorsToEject - 1 {
 		h.b.recordError(e, false)
 	}
 	if e.outlier.ejected(h.b.now) {
-		t.Fatalf("ejected after %d errors, want %d", ejectionErrors-1, ejectionErrors)
+		t.Fatalf("ejected after %d errors, want %d", consecutiveErrorsToEject-1, consecutiveErrorsToEject)
 	}
 	h.b.recordError(e, false)
 	if !e.outlier.ejected(h.b.now) {
-		t.Fatalf("not ejected after %d errors", ejectionErrors)
+		t.Fatalf("not ejected after %d errors", consecutiveErrorsToEject)
 	}
 	for range 12 {
 		id, actions := h.request(idempotentClass)
@@ -129,7 +131,7 @@
 	t.Fatal("the endpoint was not used again after its ejection")
 }
 
-// When all endpoints are ejected, the cause is hardly theirs.
+// Requests are sent even when all endpoints are ejected: the cause is then unlikely to lie in the endpoints.
 func TestAllEjectedEndpointsAreStillUsed(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	for _, e := range h.b.endpoints {
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -3,30 +3,38 @@
 import "math"
 
 const (
-	slowStartBudgetPart = 0.5  // of the allowed overload factor that this sidecar's budget may use
-	slowStartBurstPart  = 0.25 // of the overload window for which the budget is saved up
-	minWeightInUse      = 1e-6
+	// slowStartBudgetFraction is the fraction of Config.OverloadFactor (the multiple of its capacity at
+	// which a warming-up endpoint fails) that this sidecar's attempt budget for such an endpoint may use.
+	slowStartBudgetFraction = 0.5
+
+	// slowStartBurstFraction is the time over which an unused slow-start budget accumulates, as a fraction
+	// of Config.OverloadWindow. It bounds the burst of attempts that a warming-up endpoint can receive.
+	slowStartBurstFraction = 0.25
+
+	// minWeightInUse is a lower bound for the sum of the weights of the endpoints that this sidecar uses, in
+	// units of weight. It avoids a division by zero when a response is counted per weight.
+	minWeightInUse = 1e-6
 )
 
-// slowStart limits what an endpoint gets while it warms up.
+// slowStart limits the attempts that this sidecar sends to an endpoint while the endpoint warms up.
 type slowStart struct {
-	initialFraction float64 // of its capacity, at the start
-	duration        float64
-	overloadFactor  float64
-	overloadWindow  float64
+	initialFraction float64 // fraction of its capacity that an endpoint has when it starts
+	duration        float64 // ms until an endpoint has its full capacity
+	overloadFactor  float64 // multiple of its capacity at which a warming-up endpoint fails
+	overloadWindow  float64 // ms of such an overload after which a warming-up endpoint fails
 
-	// responsesPerWeight counts responses, each as a part of the weight that was in use: it gives the rate
-	// that an endpoint of some weight serves this sidecar. It does not count requests, which clients retry in
-	// overload.
+	// responsesPerWeight counts each response divided by weightInUse. Its rate times an endpoint's weight
+	// is the rate of responses that this sidecar gets from an endpoint of this weight. It counts responses
+	// and not requests, because clients retry under overload, which would raise the budget.
 	responsesPerWeight rateMeter
-	weightInUse        float64 // at the last first attempt, whatever the endpoints' errors
+	weightInUse        float64 // sum at the last first attempt, without health multipliers
 }
 
-// warmUpState is an endpoint's part in it.
+// warmUpState is the slow-start state of one endpoint.
 type warmUpState struct {
-	since      float64 // the start of its last warm-up
-	tokens     float64 // attempts left in the budget
-	refilledAt float64
+	start      float64 // start of the last warm-up, in ms; -Inf if there was none
+	tokens     float64 // attempts left in the slow-start budget
+	refilledAt float64 // last refill of tokens, in ms
 }
 
 func newSlowStart(cfg *Config, longestObjective float64) slowStart {
@@ -39,39 +47,43 @@
 	}
 }
 
-func (s *slowStart) warmingUp(e *endpoint, now float64) bool { return now < e.warmUp.since+s.duration }
+// warmingUp reports whether an endpoint is in its slow start.
+func (s *slowStart) warmingUp(e *endpoint, now float64) bool { return now < e.warmUp.start+s.duration }
 
-// capacityFraction is the least fraction of its capacity that an endpoint that warms up has.
+// capacityFraction returns the fraction of its capacity that a warming-up endpoint has at the least. It
+// rises linearly from initialFraction to 1 over the slow-start duration.
 func (s *slowStart) capacityFraction(e *endpoint, now float64) float64 {
-	age := math.Max(0, now-e.warmUp.since) / s.duration
+	age := math.Max(0, now-e.warmUp.start) / s.duration
 	return s.initialFraction + (1-s.initialFraction)*math.Min(1, age)
 }
 
-// countResponse takes in a response, for the weight that was in use when it came.
+// countResponse counts a response, divided by the weight that is in use now.
 func (s *slowStart) countResponse(now float64) {
 	s.responsesPerWeight.add(now, 1/math.Max(s.weightInUse, minWeightInUse))
 }
 
-// hasBudget refills an endpoint's budget and reports whether an attempt is left in it: a hard limit, also for
-// retries. The budget is a part of the allowed multiple of the rate at which endpoints of this weight serve
-// the sidecar. The share of endpoints that died or are unhealthy does not add to it; and few responses are
-// assumed, else the budgets of many sidecars with little traffic would add up to too much.
+// hasBudget refills an endpoint's slow-start budget and reports whether it allows another attempt. The
+// budget is a hard limit that holds for retries too. It refills at a multiple of the rate of responses that
+// this sidecar gets from an endpoint of this weight. The traffic of dead or unhealthy endpoints does not
+// raise it. Only few responses are assumed in addition to the counted ones, because the budgets of many
+// sidecars with little traffic would otherwise add up to an overload.
 func (s *slowStart) hasBudget(e *endpoint, now float64) bool {
 	assumed := 1 / math.Max(s.weightInUse, e.rotation.weight)
 	served := s.responsesPerWeight.rate(now, assumed) * e.rotation.weight
-	refill := served * math.Max(1, slowStartBudgetPart*s.overloadFactor)
-	burst := math.Max(1, refill*s.overloadWindow*slowStartBurstPart)
+	refill := served * math.Max(1, slowStartBudgetFraction*s.overloadFactor)
+	burst := math.Max(1, refill*s.overloadWindow*slowStartBurstFraction)
 	e.warmUp.tokens = math.Min(e.warmUp.tokens+refill*(now-e.warmUp.refilledAt), burst)
 	e.warmUp.refilledAt = now
 	return e.warmUp.tokens >= 1
 }
 
+// slowStartAllows reports whether slow start permits another attempt at the endpoint.
 func (b *Balancer) slowStartAllows(e *endpoint) bool {
 	return !b.slowStart.warmingUp(e, b.now) || b.slowStart.hasBudget(e, b.now)
 }
 
-// beginSlowStart begins an endpoint's warm-up. The first budget is random, so that the first attempts of all
-// sidecars do not meet.
-func (b *Balancer) beginSlowStart(e *endpoint, since float64) {
-	e.warmUp = warmUpState{since: since, tokens: b.random.float64(), refilledAt: b.now}
+// beginSlowStart starts an endpoint's warm-up, which counts from start. The initial budget is
+// random, so that not all sidecars send their first attempt at the same time.
+func (b *Balancer) beginSlowStart(e *endpoint, start float64) {
+	e.warmUp = warmUpState{start: start, tokens: b.random.float64(), refilledAt: b.now}
 }
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	restartAt    = 8000.0 // ms
-	observedTime = 8000.0 // ms from then on in which attempts are counted
-	responseTime = 100.0  // ms at the least
-	endpointRate = 25.0   // requests per second that a warm endpoint can do
+	restartAt       = 8000.0 // time of the endpoints' restart, in ms
+	observedTime    = 8000.0 // ms after the restart in which attempts are counted
+	minResponseTime = 100.0  // ms that an endpoint needs for a response at the least
+	endpointRate    = 25.0   // requests per second that a warm endpoint can serve
 )
 
-// slowStartScenario describes a fleet of sidecars in virtual time that share endpoints, one or more of which
+// slowStartScenario describes a simulated fleet of sidecars that share endpoints, one or more of which
 // restart half-way.
 type slowStartScenario struct {
-	name                string
-	sidecars            int
-	endpointsPerSidecar int     // subset size from which the number of endpoints follows
-	load                float64 // fraction of what all endpoints can do when warm
-	skewed              bool    // one sidecar in five has ten times the traffic of the others
-	class               int
-	restartFraction     float64 // of the endpoints that restart at restartAt, one at the least
-	restDies            bool    // from then on the others accept no connections
-	failureFraction     float64 // of the attempts at the others that fail and may be retried
-	restartSidecars     bool    // all sidecars restart, too
-	notificationDelay   float64 // ms after which the last sidecars are notified of the restart
+	name                    string
+	sidecars                int
+	endpointsPerTenSidecars int     // number of endpoints for each ten sidecars; three in total at the least
+	load                    float64 // request rate, as a fraction of what all endpoints can serve when warm
+	skewed                  bool    // one sidecar in five has ten times the traffic of the others
+	class                   int     // position of the requests' class in Config.Classes
+	restartFraction         float64 // fraction of the endpoints that restart at restartAt; one at the least
+	othersDie               bool    // the other endpoints accept no connections after restartAt
+	failureFraction         float64 // fraction of attempts that fail, except at restarted endpoints
+	restartSidecars         bool    // all sidecars restart too, when notified of the endpoints' restart
+	notificationDelay       float64 // ms from the restart until the last sidecars are notified of it
 }
 
+// slowStartEvent is one event of a slowStartSimulation.
 type slowStartEvent struct {
-	at  float64
-	seq int
+	at  float64 // ms
+	seq int     // order of creation
 	run func()
 }
 
-// slowStartQueue is a heap of events in the order of time, then of creation.
+// slowStartQueue is a heap of events, ordered by time and then by creation.
 type slowStartQueue []slowStartEvent
 
 func (q slowStartQueue) Len() int { return len(q) }
@@ -57,8 +58,8 @@
 	return last
 }
 
-// slowStartWorld plays a slowStartScenario.
-type slowStartWorld struct {
+// slowStartSimulation runs a slowStartScenario in virtual time.
+type slowStartSimulation struct {
 	slowStartScenario
 	t             *testing.T
 	random        *rand.Rand
@@ -69,62 +70,64 @@
 	endpointCount int
 	restartCount  int
 	listed        []Endpoint
-	attemptTimes  map[EndpointID][]float64 // of notified sidecars, by endpoint that restarted
-	busyUntil     map[EndpointID]float64   // until when each endpoint has work
+	attemptTimes  map[EndpointID][]float64 // attempts of notified sidecars, by restarted endpoint
+	busyUntil     map[EndpointID]float64   // time at which each endpoint has finished its work
 }
 
-func newSlowStartWorld(t *testing.T, scenario slowStartScenario, seed uint64) *slowStartWorld {
+func newSlowStartSimulation(t *testing.T, scenario slowStartScenario, seed uint64) *slowStartSimulation {
 	t.Helper()
-	w := &slowStartWorld{
+	sim := &slowStartSimulation{
 		slowStartScenario: scenario,
 		t:                 t,
 		random:            rand.New(rand.NewPCG(seed, 7)),
 		attemptTimes:      map[EndpointID][]float64{},
 		busyUntil:         map[EndpointID]float64{},
 	}
-	w.endpointCount = max(3, scenario.sidecars*scenario.endpointsPerSidecar/10)
-	w.restartCount = max(1, int(scenario.restartFraction*float64(w.endpointCount)))
-	w.listed = newEndpoints(w.endpointCount)
-	return w
+	sim.endpointCount = max(3, scenario.sidecars*scenario.endpointsPerTenSidecars/10)
+	sim.restartCount = max(1, int(scenario.restartFraction*float64(sim.endpointCount)))
+	sim.listed = newEndpoints(sim.endpointCount)
+	return sim
 }
 
-// play runs the scenario and returns how much of the slow-start budget was used, see budgetUse.
-func (d slowStartScenario) play(t *testing.T, seed uint64) (fullest, used float64) {
+// run simulates the scenario and returns how much of the slow-start budget was used; see budgetUse.
+func (d slowStartScenario) run(t *testing.T, seed uint64) (fullest, used float64) {
 	t.Helper()
-	w := newSlowStartWorld(t, d, seed)
+	sim := newSlowStartSimulation(t, d, seed)
 	cfg := baseConfig()
 	for n := range d.sidecars {
-		w.addSidecar(n, cfg)
+		sim.addSidecar(n, cfg)
 	}
-	w.after(restartAt, w.restartEndpoints)
-	for w.queue.Len() > 0 && w.now < restartAt+observedTime {
-		event := heap.Pop(&w.queue).(slowStartEvent)
-		w.now = event.at
+	sim.after(restartAt, sim.restartEndpoints)
+	for sim.queue.Len() > 0 && sim.now < restartAt+observedTime {
+		event := heap.Pop(&sim.queue).(slowStartEvent)
+		sim.now = event.at
 		event.run()
 	}
-	return w.budgetUse(&cfg)
+	return sim.budgetUse(&cfg)
 }
 
-func (w *slowStartWorld) after(ms float64, run func()) {
-	w.seq++
-	heap.Push(&w.queue, slowStartEvent{at: w.now + ms, seq: w.seq, run: run})
+// after schedules an event.
+func (sim *slowStartSimulation) after(ms float64, run func()) {
+	sim.seq++
+	heap.Push(&sim.queue, slowStartEvent{at: sim.now + ms, seq: sim.seq, run: run})
 }
 
-func (w *slowStartWorld) restartEndpoints() {
-	for i := range w.restartCount {
-		w.listed[i].StartedAt = w.now
-		w.attemptTimes[w.listed[i].ID] = nil
+func (sim *slowStartSimulation) restartEndpoints() {
+	for i := range sim.restartCount {
+		sim.listed[i].StartedAt = sim.now
+		sim.attemptTimes[sim.listed[i].ID] = nil
 	}
 }
 
-// budgetUse returns the fullest overload window of any restarted endpoint, as a fraction of its budget with
-// an allowance for chance, and the mean fraction of the plain budget that was used over the observed time.
-func (w *slowStartWorld) budgetUse(cfg *Config) (fullest, used float64) {
-	// budget is how many requests an endpoint may be sent in a window.
+// budgetUse returns two fractions. The first is the highest number of attempts in any overload window at any
+// restarted endpoint, as a fraction of the endpoint's budget plus an allowance for chance. The second is the
+// mean fraction of the budget, without the allowance, that was used over observedTime.
+func (sim *slowStartSimulation) budgetUse(cfg *Config) (fullest, used float64) {
+	// budget returns how many requests all sidecars may send in a window (in ms) to an endpoint of an age.
 	budget := func(age, window float64) float64 {
 		return cfg.OverloadFactor * slowStartFractionAt(age) * endpointRate * window / 1000
 	}
-	for _, times := range w.attemptTimes {
+	for _, times := range sim.attemptTimes {
 		for i := range times {
 			first := 0
 			for times[first] <= times[i]-cfg.OverloadWindow {
@@ -134,101 +137,101 @@
 			allowed := budget(ageAtWindowStart, cfg.OverloadWindow)
 			fullest = math.Max(fullest, float64(i-first+1)/(allowed+2*math.Sqrt(allowed)+2))
 		}
-		used += float64(len(times)) / budget(observedTime/2, observedTime) / float64(len(w.attemptTimes))
+		used += float64(len(times)) / budget(observedTime/2, observedTime) / float64(len(sim.attemptTimes))
 	}
 	return fullest, used
 }
 
-// slowStartFractionAt is the least fraction of its capacity that an endpoint has at an age.
+// slowStartFractionAt returns the least fraction of its capacity that an endpoint has at an age in ms.
 func slowStartFractionAt(age float64) float64 {
 	cfg := baseConfig()
 	return cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*math.Min(1, age/cfg.SlowStartDuration)
 }
 
-// attempt returns the result of an attempt and its latency.
-func (w *slowStartWorld) attempt(id EndpointID, notified bool) (Result, float64) {
-	times, restarted := w.attemptTimes[id]
+// attempt makes an attempt at an endpoint and returns its result and its latency in ms.
+func (sim *slowStartSimulation) attempt(id EndpointID, notified bool) (Result, float64) {
+	times, restarted := sim.attemptTimes[id]
 	switch {
 	case restarted && notified:
-		w.attemptTimes[id] = append(times, w.now)
-	case restarted: // the budget does not bind sidecars that have not been notified yet
-	case w.now > restartAt && w.restDies:
+		sim.attemptTimes[id] = append(times, sim.now)
+	case restarted: // sidecars that have not been notified cannot respect the budget
+	case sim.now > restartAt && sim.othersDie:
 		return ConnectFailed, 1
-	case w.random.Float64() < w.failureFraction:
+	case sim.random.Float64() < sim.failureFraction:
 		return ServerError, 5
 	}
 	speed := 1.0
 	if restarted {
-		speed = slowStartFractionAt(w.now - restartAt)
+		speed = slowStartFractionAt(sim.now - restartAt)
 	}
-	w.busyUntil[id] = math.Max(w.busyUntil[id], w.now) + 1000/endpointRate/speed
-	return OK, math.Max(responseTime, w.busyUntil[id]-w.now)
+	sim.busyUntil[id] = math.Max(sim.busyUntil[id], sim.now) + 1000/endpointRate/speed
+	return OK, math.Max(minResponseTime, sim.busyUntil[id]-sim.now)
 }
 
-// slowStartSidecar is a sidecar of a slowStartWorld, with its clients.
+// slowStartSidecar is a sidecar of a slowStartSimulation, with its clients.
 type slowStartSidecar struct {
-	w            *slowStartWorld
+	sim          *slowStartSimulation
 	cfg          Config
-	b            *Balancer // another one after a restart
-	notified     bool      // of the endpoints' restart
-	traffic      float64   // relative to the other sidecars
-	totalTraffic float64   // of all sidecars, likewise
+	b            *Balancer // replaced when the sidecar restarts
+	notified     bool      // the sidecar knows of the endpoints' restart
+	traffic      float64   // request rate, relative to the sidecars with little traffic
+	totalTraffic float64   // sum of traffic over all sidecars
 }
 
 // addSidecar starts a sidecar and schedules its requests and its notification of the restart.
-func (w *slowStartWorld) addSidecar(n int, cfg Config) {
-	cfg.Seed = uint64(n) + 100*w.random.Uint64N(1000)
+func (sim *slowStartSimulation) addSidecar(n int, cfg Config) {
+	cfg.Seed = uint64(n) + 100*sim.random.Uint64N(1000)
 	cfg.PeerIndex = n
-	cfg.PeerCount = w.sidecars
-	s := &slowStartSidecar{w: w, cfg: cfg, traffic: 1, totalTraffic: float64(w.sidecars)}
-	if w.skewed {
-		s.totalTraffic = 2.8 * float64(w.sidecars)
+	cfg.PeerCount = sim.sidecars
+	s := &slowStartSidecar{sim: sim, cfg: cfg, traffic: 1, totalTraffic: float64(sim.sidecars)}
+	if sim.skewed {
+		s.totalTraffic = 2.8 * float64(sim.sidecars)
 		if n%5 == 0 {
 			s.traffic = 10
 		}
 	}
 	s.start()
-	w.after(restartAt+0.001+w.notificationDelay*w.random.Float64(), s.notifyOfRestart)
-	w.after(s.nextGap(), s.sendRequest)
+	sim.after(restartAt+0.001+sim.notificationDelay*sim.random.Float64(), s.notifyOfRestart)
+	sim.after(s.nextGap(), s.sendRequest)
 }
 
 func (s *slowStartSidecar) start() {
 	s.b = New(s.cfg)
-	s.apply(s.b, append([]Action(nil), s.b.Start(s.w.now)...))
-	s.handle(s.b, EndpointUpdate{Kind: Snapshot, Endpoints: s.w.listed})
+	s.apply(s.b, append([]Action(nil), s.b.Start(s.sim.now)...))
+	s.handle(s.b, EndpointUpdate{Kind: Snapshot, Endpoints: s.sim.listed})
 }
 
 func (s *slowStartSidecar) notifyOfRestart() {
 	s.notified = true
-	if s.w.restartSidecars {
+	if s.sim.restartSidecars {
 		s.cfg.Seed++
 		s.start()
 	} else {
-		s.handle(s.b, EndpointUpdate{Kind: Delta, Endpoints: s.w.listed[:s.w.restartCount]})
+		s.handle(s.b, EndpointUpdate{Kind: Delta, Endpoints: s.sim.listed[:s.sim.restartCount]})
 	}
 }
 
-// nextGap returns the time until the sidecar's next request.
+// nextGap returns a random time in ms until the sidecar's next request.
 func (s *slowStartSidecar) nextGap() float64 {
-	w := s.w
-	return w.random.ExpFloat64() * 1000 * s.totalTraffic / s.traffic /
-		(w.load * endpointRate * float64(w.endpointCount))
+	sim := s.sim
+	return sim.random.ExpFloat64() * 1000 * s.totalTraffic / s.traffic /
+		(sim.load * endpointRate * float64(sim.endpointCount))
 }
 
 func (s *slowStartSidecar) sendRequest() {
-	s.w.lastID++
-	timeout := s.cfg.Classes[s.w.class].Deadline
-	s.handle(s.b, Request{ID: s.w.lastID, Class: s.w.class, Timeout: timeout})
-	s.w.after(s.nextGap(), s.sendRequest)
+	s.sim.lastID++
+	timeout := s.cfg.Classes[s.sim.class].Deadline
+	s.handle(s.b, Request{ID: s.sim.lastID, Class: s.sim.class, Timeout: timeout})
+	s.sim.after(s.nextGap(), s.sendRequest)
 }
 
-// handle passes an event to a balancer of the sidecar: its present one or, for what was started before a
-// restart, the one that started it.
+// handle passes an event to a balancer of the sidecar: the present one or, for results of what was started
+// before a restart of the sidecar, the balancer that started it.
 func (s *slowStartSidecar) handle(b *Balancer, event Event) {
-	s.w.t.Helper()
-	actions, err := b.Handle(s.w.now, event)
+	s.sim.t.Helper()
+	actions, err := b.Handle(s.sim.now, event)
 	if err != nil {
-		s.w.t.Fatal(err)
+		s.sim.t.Fatal(err)
 	}
 	s.apply(b, append([]Action(nil), actions...))
 }
@@ -239,12 +242,12 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case SetTimer:
-			s.w.after(a.Delay, func() { s.handle(b, Timer{Token: a.Token}) })
+			s.sim.after(a.Delay, func() { s.handle(b, Timer{Token: a.Token}) })
 		case StartAttempt:
 			number := len(b.requests[a.Request].attempts) - 1 + started[a.Request]
 			started[a.Request]++
-			result, latency := s.w.attempt(a.Endpoint, s.notified)
-			s.w.after(latency, func() {
+			result, latency := s.sim.attempt(a.Endpoint, s.notified)
+			s.sim.after(latency, func() {
 				s.finishAttempt(b, AttemptResult{
 					Request:       a.Request,
 					Attempt:       number,
@@ -258,7 +261,7 @@
 	}
 }
 
-// finishAttempt passes on the end of an attempt that is still in flight.
+// finishAttempt passes the end of an attempt to the balancer if the attempt is still in flight.
 func (s *slowStartSidecar) finishAttempt(b *Balancer, event AttemptResult) {
 	r := b.requests[event.Request]
 	if r != nil && event.Attempt < len(r.attempts) && r.attempts[event.Attempt].inFlight {
@@ -266,8 +269,9 @@
 	}
 }
 
-// What all sidecars together send to an endpoint that has just started stays within its slow-start budget,
-// with a small allowance for chance and whatever happens to the other endpoints.
+// Guards against overloading an endpoint that has just started: what all sidecars together send to it must
+// stay within its slow-start budget, with a small allowance for chance, whatever happens to the other
+// endpoints.
 func TestSlowStartBudgetHoldsAcrossFleet(t *testing.T) {
 	for _, sidecars := range []int{2, 8, 20, 30, 300} {
 		for _, scenario := range []slowStartScenario{
@@ -280,36 +284,36 @@
 			{name: "sidecars restart", load: 0.7, restartSidecars: true},
 			{name: "most endpoints restart", load: 0.7, restartFraction: 0.8},
 			{name: "all endpoints restart", load: 0.7, restartFraction: 1},
-			{name: "other endpoints die", load: 0.7, restartFraction: 0.1, restDies: true},
+			{name: "other endpoints die", load: 0.7, restartFraction: 0.1, othersDie: true},
 			{
 				name: "other endpoints die and sidecars restart", load: 0.7,
-				restartFraction: 0.1, restDies: true, restartSidecars: true,
+				restartFraction: 0.1, othersDie: true, restartSidecars: true,
 			},
 			{name: "late notification", load: 0.7, notificationDelay: 900},
 		} {
-			scenario.sidecars, scenario.endpointsPerSidecar = sidecars, 4
+			scenario.sidecars, scenario.endpointsPerTenSidecars = sidecars, 4
 			if sidecars == 300 {
-				scenario.endpointsPerSidecar = 2
+				scenario.endpointsPerTenSidecars = 2
 			}
 			t.Run(fmt.Sprintf("%d sidecars/%s", sidecars, scenario.name), func(t *testing.T) {
 				var fullest, used float64
 				for seed := range uint64(2) {
-					seedFullest, seedUsed := scenario.play(t, seed)
+					seedFullest, seedUsed := scenario.run(t, seed)
 					fullest = math.Max(fullest, seedFullest)
 					used += seedUsed / 2
 				}
-				t.Logf("fullest window: %.2f of what is allowed; %.2f of the budget used", fullest, used)
+				t.Logf("fullest window: %.2f of the allowed attempts; %.2f of the budget used", fullest, used)
 				if fullest > 1 {
-					t.Errorf("fullest window: %.2f of what is allowed, want at most 1", fullest)
+					t.Errorf("fullest window: %.2f of the allowed attempts, want at most 1", fullest)
 				}
 			})
 		}
 	}
 }
 
-// Incidents: an endpoint that was warming up was overloaded when its budget followed the clients' requests,
-// retries included; and by many sidecars each of which knew of few responses. Whatever their number, all
-// sidecars together stay within the allowed multiple of its capacity.
+// Guards against overloading a warming-up endpoint. This happened when the slow-start budget followed the
+// requests of clients, retries included, and when many sidecars had seen few responses each. Whatever their
+// number, all sidecars together must stay within the allowed multiple of the endpoint's capacity.
 func TestSlowStartBudgetHoldsForAllSidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, endpoints, perSecond int }{
 		{sidecars: 4, endpoints: 5, perSecond: 150},
@@ -325,8 +329,9 @@
 			early += sidecarEarly
 			later += sidecarLater
 		}
-		// A warm endpoint gets its share of the traffic. One that warms up can do SlowStartFraction of that
-		// and a little more with time, and fails at OverloadFactor times what it can do.
+		// A warm endpoint gets an equal share of the traffic. A warming-up endpoint can serve
+		// SlowStartFraction of this share, a little more with time, and fails at OverloadFactor times what it
+		// can serve.
 		share := float64(c.sidecars*c.perSecond) / float64(c.endpoints)
 		limit := share * cfg.OverloadFactor * (cfg.SlowStartFraction + 0.05)
 		if later == 0 || float64(early) > limit {
@@ -336,8 +341,8 @@
 	}
 }
 
-// attemptsAfterRestart plays 6 s of one sidecar with steady traffic, half-way through which endpoint 1
-// restarts. It returns the attempts there in the first second after that, and those later.
+// attemptsAfterRestart simulates 6 s of one sidecar with steady traffic. Endpoint 1 restarts after 3 s. It
+// returns the number of attempts at endpoint 1 in the first second after the restart, and after this second.
 func attemptsAfterRestart(t *testing.T, cfg Config, endpointCount, perSecond int) (early, later int) {
 	t.Helper()
 	endpoints := newEndpoints(endpointCount)
@@ -366,12 +371,13 @@
 	return early, later
 }
 
-// An endpoint that lost connections, accepted no new ones and then responds has restarted, whatever the
-// endpoint list says. Either alone proves no restart. Incident: endpoints with full backlogs, and those
-// behind a network that resets connections, got only the share of an endpoint that warms up.
+// An endpoint that lost connections, accepted no new ones and then responds has restarted, even if the
+// endpoint list does not say so yet. Guards against taking either fault alone for a restart: endpoints with
+// full accept backlogs, and endpoints behind a network that resets connections, got only the traffic of a
+// warming-up one.
 func TestRecoveredEndpointStartsSlow(t *testing.T) {
 	for _, c := range []struct {
-		results   []Result // followed by a success
+		results   []Result // results of attempts, followed by one OK
 		warmingUp bool
 	}{
 		{[]Result{Reset, ConnectFailed, ConnectFailed}, true},
@@ -388,20 +394,20 @@
 			id, _ := h.request(nonIdempotentClass)
 			h.finishAttempt(id, 0, result, 150)
 			if result == ConnectFailed && !e.outlier.ejected(h.b.now) {
-				t.Errorf("%v: the endpoint is not ejected after a failed connection", c.results)
+				t.Errorf("results %v: the endpoint is not ejected after a failed connection", c.results)
 			}
 			h.now += 60000
 		}
 		h.now -= 60000
 		if got := h.b.slowStart.warmingUp(e, h.b.now); got != c.warmingUp {
-			t.Errorf("%v: warming up %v, want %v", c.results, got, c.warmingUp)
+			t.Errorf("results %v: warming up %v, want %v", c.results, got, c.warmingUp)
 		}
 	}
 }
 
-// Incident: responses that were assumed for sidecars of little traffic counted in slow-start budgets too, and
-// together they overloaded an endpoint. A sidecar that has seen no responses may send hardly anything to an
-// endpoint that warms up.
+// A sidecar that has seen no responses may send hardly anything to a warming-up endpoint. Guards against
+// counting assumed responses of sidecars with little traffic in slow-start budgets: the budgets of many such
+// sidecars together overloaded an endpoint.
 func TestAssumedResponsesGrantNoSlowStartBudget(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	e := h.b.endpoints[0]
@@ -409,13 +415,13 @@
 	entry.StartedAt = h.now
 	h.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{entry}})
 	h.now += 2000
-	h.request(idempotentClass) // sets the weights
+	h.request(idempotentClass) // sets slowStart.weightInUse and the weights
 	e.warmUp.tokens, e.warmUp.refilledAt = 0, h.now-2000
 	h.b.slowStart.hasBudget(e, h.b.now)
-	if e.warmUp.tokens > 0.2 { // with ten assumed responses it would be 1
+	if e.warmUp.tokens > 0.2 { // with ten assumed responses the budget would be 1
 		t.Fatalf("budget of %.2f attempts in two seconds, want at most 0.2", e.warmUp.tokens)
 	}
-	// Of two hundred responses a second the endpoint may have its share.
+	// At 200 responses per second the endpoint may have its share of the traffic.
 	h.b.slowStart.responsesPerWeight.add(h.b.now, 400/h.b.slowStart.weightInUse)
 	e.warmUp.tokens, e.warmUp.refilledAt = 0, h.now-2000
 	h.b.slowStart.hasBudget(e, h.b.now)
@@ -424,11 +430,11 @@
 	}
 }
 
-// Incident: all other endpoints failed, and the retries of every sidecar went to the one that had just
-// started, as it had no errors.
+// Guards against overloading a warming-up endpoint with retries: when all other endpoints failed, the retries
+// of every sidecar went to the endpoint that had just started, because it had no errors.
 func TestRetriesRespectSlowStartBudget(t *testing.T) {
 	const sidecars, requests = 40, 20
-	attempts := 0 // at the endpoint that warms up
+	attempts := 0 // attempts at the warming-up endpoint
 	for n := range sidecars {
 		cfg := baseConfig()
 		cfg.Seed = uint64(n + 1)
@@ -452,21 +458,21 @@
 			h.now += 50
 		}
 	}
-	// In this second a warm endpoint's share of the requests is a fifth.
+	// A warm endpoint would get one fifth of the requests in this second.
 	limit := sidecars * requests / 5 * 2.5 * (0.2 + 0.05)
 	if float64(attempts) > limit {
-		t.Fatalf("%d attempts at the endpoint that warms up, want at most %.0f", attempts, limit)
+		t.Fatalf("%d attempts at the warming-up endpoint, want at most %.0f", attempts, limit)
 	}
 }
 
 // An endpoint that accepted no connections and responds again has restarted, and warms up for all sidecars
-// that receive gossip about it. Incident: those without attempts there sent it the load of a warm endpoint
-// until discovery notified them. One that failed in another way does not warm up.
+// that receive gossip about it. Guards against the load of a warm endpoint from sidecars that had no attempts
+// there and were not notified by discovery yet. An endpoint that failed in another way does not warm up.
 func TestGossipStartsSlowStartOfRecoveredEndpoints(t *testing.T) {
 	for _, unreachable := range []bool{false, true} {
 		h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
 		e := h.b.endpoints[3]
-		for sender := 1; sender < 20; sender++ { // however often it failed
+		for sender := 1; sender < 20; sender++ { // the endpoint warms up however many failures there were
 			h.receiveConnectionFailures(sender, e, 3, unreachable)
 		}
 		ejected, warmingUp := e.outlier.ejected(h.b.now), h.b.slowStart.warmingUp(e, h.b.now)
