--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -13,10 +13,10 @@
 	LifecycleRemoved  = "removed"
 )
 
-// Catalog is one message of discovery: the whole endpoint list, or what has changed.
+// Catalog is one message of discovery: the whole endpoint list, or the entries that have changed.
 type Catalog struct {
 	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // it is the whole list
+	Reset      bool       `json:"reset"` // Instances is the whole list
 	Instances  []Instance `json:"instances"`
 }
 
@@ -29,18 +29,18 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAt   float64 `json:"startedAtMs"` // Unix time in milliseconds; 0: long ago
+	StartedAt   float64 `json:"startedAtMs"` // Unix time in milliseconds; 0 means long ago
 }
 
-// ParseCatalog reads one message. One bad entry spoils it all, as half a list would be worse than none. An error
-// wraps ErrMalformed.
+// ParseCatalog decodes one message. A single invalid entry makes the whole message invalid, because a partial list
+// would be worse than none. An error wraps ErrMalformed.
 func ParseCatalog(raw []byte) (Catalog, error) {
 	var c Catalog
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return c, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if c.Instances == nil {
-		return c, fmt.Errorf("%w: no instances", ErrMalformed)
+		return c, fmt.Errorf("%w: missing instances", ErrMalformed)
 	}
 	for i := range c.Instances {
 		if err := c.Instances[i].validate(); err != nil {
@@ -50,6 +50,7 @@
 	return c, nil
 }
 
+// validate returns an error if the entry lacks a known lifecycle, an ID or, unless it is removed, an address.
 func (in *Instance) validate() error {
 	switch in.Lifecycle {
 	case LifecycleUp, LifecycleDraining, LifecycleRemoved:
@@ -59,7 +60,7 @@
 	if in.ID == "" {
 		return errNoID
 	}
-	if in.Lifecycle == LifecycleRemoved { // it needs no address
+	if in.Lifecycle == LifecycleRemoved { // a removed instance needs no address
 		return nil
 	}
 	if _, _, err := net.SplitHostPort(in.HostPort); err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,4 @@
-// Package discovery is the client of the discovery service: it fetches and watches the endpoint list.
+// Package discovery is a client of the discovery service. It fetches and watches the endpoint list.
 package discovery
 
 import (
@@ -15,14 +15,23 @@
 )
 
 const (
+	// catalogPath is the HTTP path of the endpoint list at the discovery service.
 	catalogPath = "/catalog/members"
+
+	// dialTimeout is the longest time that opening a connection to discovery may take.
 	dialTimeout = time.Second
-	// fetchTimeout leaves discovery the time in which it answers late: it gives a call up itself after 3 s.
+
+	// fetchTimeout is the longest time that a fetch of the endpoint list may take. It leaves room for late responses:
+	// discovery itself gives up a call after 3 s.
 	fetchTimeout = 4 * time.Second
-	// WatchStallTimeout is the silence after which a watch is dead. A heartbeat, an empty line, comes every 2 s.
-	// What a dead watch misses counts as notified after 6 s, and the next call takes its time.
+
+	// WatchStallTimeout is the time without a heartbeat or a whole message after which a watch counts as stalled.
+	// Discovery sends a heartbeat, an empty line, every 2 s. A sidecar counts as notified of a change that a stalled
+	// watch missed after 6 s, and the next call takes part of this time.
 	WatchStallTimeout = 2500 * time.Millisecond
-	maxMessageSize    = 4 << 20 // bytes
+
+	// maxMessageSize is the largest message of discovery that is accepted, in bytes.
+	maxMessageSize = 4 << 20
 )
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
@@ -30,30 +39,30 @@
 
 // Client makes calls to one discovery service.
 type Client struct {
-	url          string
+	url          string // URL of the endpoint list, without a query
 	http         *http.Client
-	stallTimeout time.Duration
+	stallTimeout time.Duration // WatchStallTimeout; shorter in tests
 }
 
-// NewClient returns a client of the service at an address.
+// NewClient returns a client of the discovery service at an address of the form host:port.
 func NewClient(addr string) *Client {
 	return NewClientWithDialer(addr, (&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewClientWithDialer returns a client that opens its connections by dial.
+// NewClientWithDialer returns a client of the discovery service at an address, which uses dial to open connections.
 func NewClientWithDialer(addr string, dial DialFunc) *Client {
 	return &Client{
 		url:          "http://" + addr + catalogPath,
 		stallTimeout: WatchStallTimeout,
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:        dial,
-			DisableKeepAlives:  true, // a reused connection would make the transport send a call twice
+			DisableKeepAlives:  true, // on reused connections the transport may send a call twice
 			DisableCompression: true,
 		}},
 	}
 }
 
-// Fetch returns the whole endpoint list.
+// Fetch returns the whole endpoint list. It fails after 4 s.
 func (c *Client) Fetch(ctx context.Context) (Catalog, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, fetchTimeout, ErrTimeout)
 	defer cancel()
@@ -64,7 +73,7 @@
 	defer body.Close()
 	raw, err := io.ReadAll(io.LimitReader(body, maxMessageSize))
 	if err != nil {
-		return Catalog{}, fmt.Errorf("fetch: %w", unavailable(ctx, err))
+		return Catalog{}, fmt.Errorf("fetch: %w", callError(ctx, err))
 	}
 	catalog, err := ParseCatalog(raw)
 	if err != nil {
@@ -73,26 +82,27 @@
 	return catalog, nil
 }
 
-// Watch hands each message after a generation to handle, until the watch ends, which it always does with an error. The
-// response must begin within a timeout; from then on only silence ends the watch.
+// Watch calls handle with each message that is newer than the generation after. It returns when the watch ends, always
+// with an error. The response must begin within the timeout. From then on, the watch times out with ErrStalled only if
+// neither a heartbeat nor a whole message comes for WatchStallTimeout.
 func (c *Client) Watch(ctx context.Context, after uint64, timeout time.Duration, handle func(Catalog)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	late := time.AfterFunc(timeout, func() { cancel(ErrTimeout) })
-	defer late.Stop()
+	responseTimer := time.AfterFunc(timeout, func() { cancel(ErrTimeout) })
+	defer responseTimer.Stop()
 	body, err := c.get(ctx, url.Values{"watch": {"1"}, "after": {strconv.FormatUint(after, 10)}})
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
 	defer body.Close()
-	late.Stop()
-	stalled := time.AfterFunc(c.stallTimeout, func() { cancel(ErrStalled) })
-	defer stalled.Stop()
-	reader := &heartbeatReader{source: body, onHeartbeat: func() { stalled.Reset(c.stallTimeout) }}
+	responseTimer.Stop()
+	stallTimer := time.AfterFunc(c.stallTimeout, func() { cancel(ErrStalled) })
+	defer stallTimer.Stop()
+	reader := &heartbeatReader{source: body, onHeartbeat: func() { stallTimer.Reset(c.stallTimeout) }}
 	return fmt.Errorf("watch: %w", readMessages(ctx, reader, handle))
 }
 
-// readMessages returns the reason for which there are no more.
+// readMessages calls handle with each message until there are no more, and returns the reason for the end.
 func readMessages(ctx context.Context, reader *heartbeatReader, handle func(Catalog)) error {
 	reader.awaitMessage(nil)
 	for decoder := json.NewDecoder(reader); ; {
@@ -100,7 +110,7 @@
 		if err := decoder.Decode(&raw); errors.Is(err, io.EOF) && ctx.Err() == nil {
 			return ErrEnded
 		} else if err != nil {
-			return unavailable(ctx, err)
+			return callError(ctx, err)
 		}
 		reader.awaitMessage(decoder.Buffered())
 		catalog, err := ParseCatalog(raw)
@@ -111,7 +121,7 @@
 	}
 }
 
-// get begins a call and returns the open body of its response.
+// get starts a call and returns the open body of its response.
 func (c *Client) get(ctx context.Context, query url.Values) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+"?"+query.Encode(), nil)
 	if err != nil {
@@ -119,7 +129,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, unavailable(ctx, err)
+		return nil, callError(ctx, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
@@ -128,8 +138,9 @@
 	return resp.Body, nil
 }
 
-// unavailable says why a call broke off: by the cause that ended its context, if there is one.
-func unavailable(ctx context.Context, err error) error {
+// callError wraps the error that ended a call together with the cause that ended its context, or with ErrUnavailable if
+// the context has not ended.
+func callError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if cause == nil {
 		cause = ErrUnavailable
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,7 @@
 	"pebblelift/internal/nettest"
 )
 
-// A watch always ends with an error, and the catalogs that arrive before the error are handled.
+// A watch always ends with an error, and the catalogs that arrive before the end are handled.
 func TestWatchErrors(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n\r\n"
 	catalog := nettest.CatalogJSON(7, true, nettest.InstanceJSON("s", "127.0.0.1:1", "up"))
@@ -28,7 +28,7 @@
 	for name, test := range map[string]struct {
 		response string
 		keepOpen bool // the connection stays open after the response
-		catalogs int  // how many are handled
+		catalogs int  // number of catalogs that are handled
 	}{
 		"status 503":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, 0},
 		"end of stream":      {ok + catalog + "\n\n", false, 1},
@@ -63,9 +63,9 @@
 	}
 }
 
-// A stalled watch must be detected and replaced by one that can bring the next catalog before the changes that it missed
-// count as notified, after 6 s. This holds even if the call in between gets no response at all, or a response that
-// begins and then stalls too.
+// A sidecar counts as notified after 6 s of changes that a stalled watch missed. Guards against a later detection and
+// replacement of a stalled watch, even if the call in between gets no response at all, or a response that begins and
+// then stalls too.
 func TestStalledWatchIsDetected(t *testing.T) {
 	if WatchStallTimeout <= 2*time.Second {
 		t.Errorf("a watch counts as stalled after %v, but heartbeats come every 2 s", WatchStallTimeout)
@@ -106,13 +106,13 @@
 			worst = max(worst, elapsed)
 		}
 		if worst > 6000 {
-			t.Errorf("after %s the next watch begins only after %v ms", name, worst)
+			t.Errorf("after %s the next watch begins only after %v ms, want at most 6000 ms", name, worst)
 		}
 	}
 }
 
-// A watch whose response has not begun is not stalled, as discovery may be slow. It fails only at the timeout of the
-// call.
+// A watch whose response has not begun does not count as stalled, because discovery may be slow. It fails only at the
+// timeout of the call.
 func TestWatchWithoutResponse(t *testing.T) {
 	for response, wantStalled := range map[string]bool{"": false, "HTTP/1.1 200 OK\r\n\r\n": true} {
 		stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
--- a/internal/discovery/heartbeat.go
+++ b/internal/discovery/heartbeat.go
@@ -5,37 +5,40 @@
 	"io"
 )
 
-// heartbeatReader is the body of a watch. What comes between messages, an empty line every 2 s, shows that the watch is
-// alive; so does the end of a message, which may take many lines, but not a part of one: it may never be whole.
+// heartbeatReader reads the body of a watch. It calls onHeartbeat for data between messages (an empty line every 2 s)
+// and at the end of each message, which may have many lines. A part of a message is no sign of life, because the
+// message may never be completed.
 type heartbeatReader struct {
 	source      io.Reader
 	onHeartbeat func()
-	inMessage   bool // a message has begun
-	remaining   int  // bytes that may still come of it
+	inMessage   bool // a part of the present message has been read
+	remaining   int  // bytes that may still be read before the end of the present message
 }
 
-// Read reads on in the present message, or in the heartbeats before the next one.
+// Read reads from the present message or from the heartbeats before the message. It returns ErrTooLarge for a message
+// that exceeds maxMessageSize.
 func (r *heartbeatReader) Read(p []byte) (int, error) {
 	if r.remaining == 0 {
 		return 0, ErrTooLarge
 	}
 	n, err := r.source.Read(p[:min(len(p), r.remaining)])
 	r.remaining -= n
-	r.inMessage = r.inMessage || !blank(p[:n])
+	r.inMessage = r.inMessage || !isBlank(p[:n])
 	if !r.inMessage && n > 0 {
 		r.awaitMessage(nil)
 	}
 	return n, err
 }
 
-// awaitMessage begins a new message, of which a part may have been read into a buffer.
+// awaitMessage prepares for the next message, of which a part may have been read into a buffer already.
 func (r *heartbeatReader) awaitMessage(buffered io.Reader) {
 	r.inMessage, r.remaining = false, maxMessageSize
 	if buffered != nil {
-		begun, _ := io.ReadAll(buffered) // of a buffer: it cannot fail
-		r.inMessage = !blank(begun)
+		prefix, _ := io.ReadAll(buffered) // reading from a buffer cannot fail
+		r.inMessage = !isBlank(prefix)
 	}
 	r.onHeartbeat()
 }
 
-func blank(p []byte) bool { return len(bytes.TrimSpace(p)) == 0 }
+// isBlank reports whether p holds nothing but white space.
+func isBlank(p []byte) bool { return len(bytes.TrimSpace(p)) == 0 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,4 +1,4 @@
-// Package gossip carries the messages between sidecars in UDP datagrams.
+// Package gossip sends and receives the messages between sidecars as UDP datagrams.
 package gossip
 
 import (
@@ -13,22 +13,29 @@
 )
 
 const (
-	// UnknownSender is the sender of a message from an address that belongs to no sidecar.
-	UnknownSender   = -1
-	maxDatagramSize = 256                   // bytes, by the protocol
-	sendTimeout     = 10 * time.Millisecond // a datagram may be lost, but the event loop must not wait for it
-	readRetryDelay  = 100 * time.Millisecond
+	// UnknownSender is passed by Receive as the sender of a message from an address that belongs to no peer.
+	UnknownSender = -1
+
+	// maxDatagramSize is the largest gossip message that the protocol permits, in bytes.
+	maxDatagramSize = 256
+
+	// sendTimeout is the longest time that sending a gossip message may take. A datagram may be lost, but the event
+	// loop must not wait for it.
+	sendTimeout = 10 * time.Millisecond
+
+	// readRetryDelay is the pause after a failed read from the gossip socket.
+	readRetryDelay = 100 * time.Millisecond
 )
 
-// Transport is a socket for messages to and from the other sidecars.
+// Transport is a UDP socket for messages to and from the other sidecars.
 type Transport struct {
 	conn        *net.UDPConn
-	broadcast   netip.AddrPort
-	peers       []netip.AddrPort
-	indexByAddr map[netip.AddrPort]int
+	broadcast   netip.AddrPort         // address that reaches all peers
+	peers       []netip.AddrPort       // by peer index
+	indexByAddr map[netip.AddrPort]int // peer index by address
 }
 
-// Open opens the socket.
+// Open opens the socket at the configured listen address. An error is that of the socket.
 func Open(c config.Gossip) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(c.Listen))
 	if err != nil {
@@ -41,11 +48,11 @@
 	return t, nil
 }
 
-// Close closes the socket, which ends Receive.
+// Close closes the socket and thereby ends Receive.
 func (t *Transport) Close() error { return t.conn.Close() }
 
-// Send sends a message to one peer or to balance.AllPeers. One that cannot be sent is dropped without an error, as
-// any message may be lost.
+// Send sends a message to one peer, given by its index, or to balance.AllPeers. A message that cannot be sent or is too
+// large is dropped without an error, because any message may get lost.
 func (t *Transport) Send(peer int, data []byte) {
 	addr := t.address(peer)
 	if !addr.IsValid() || len(data) > maxDatagramSize {
@@ -55,7 +62,7 @@
 	t.conn.WriteToUDPAddrPort(data, addr)
 }
 
-// address returns an invalid address for a peer that is not known.
+// address returns the address of a peer or of balance.AllPeers. The result is invalid for an unknown peer.
 func (t *Transport) address(peer int) netip.AddrPort {
 	switch {
 	case peer == balance.AllPeers:
@@ -67,10 +74,10 @@
 	}
 }
 
-// Receive hands each message to handle, with its sender's peer index, until the socket is closed. It goes on
-// after a failed read, as the socket is still usable.
+// Receive calls handle with each message and its sender's peer index, or UnknownSender, until the socket is closed.
+// It continues after a failed read, because the socket remains usable.
 func (t *Transport) Receive(handle func(sender int, data []byte)) {
-	buf := make([]byte, maxDatagramSize+1) // one byte more shows what is too long
+	buf := make([]byte, maxDatagramSize+1) // the extra byte reveals datagrams that are too large
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -84,6 +91,7 @@
 	}
 }
 
+// sender returns the peer index of the sidecar at an address, or UnknownSender.
 func (t *Transport) sender(from netip.AddrPort) int {
 	index, known := t.indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !known {
