--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -21,7 +21,8 @@
 	maxDiscoveryCallTime = 60
 
 	// minPollBackoff is a lower bound in ms for the time within which a failed call to discovery is
-	// repeated. The time doubles with each consecutive failure.
+	// repeated. The time doubles with each consecutive failure. For a local discovery agent, minPollBackoff
+	// is an upper bound and the time does not double.
 	minPollBackoff = 500
 
 	// maxBackoffDoublings is how many times the backoff and the timeout of calls to discovery double at
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -6,7 +6,8 @@
 	consecutiveErrorsToEject = 3
 
 	// maxEjectionDoublings is how many times the duration of an endpoint's ejection doubles at most, once
-	// for each earlier ejection since the endpoint's last response.
+	// for each earlier ejection since the endpoint's last response. Without an earlier one, an ejection
+	// lasts for the longest latency objective of all classes.
 	maxEjectionDoublings = 3
 
 	// failedConnectsToPresumeDead is the number of failed connection attempts after which the process of an
