--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -10,30 +10,31 @@
 )
 
 var (
-	errClientGone     = errors.New("the client has gone")
-	errConnectTimeout = errors.New("no connection in time")
-	errNoEndpoint     = errors.New("the endpoint or the request is gone")
+	errClientDisconnected = errors.New("client disconnected before the attempt was sent")
+	errConnectTimeout     = errors.New("connection not established before the attempt's deadline")
+	errAttemptNotStarted  = errors.New("endpoint not in the endpoint list, or request already closed")
 )
 
-// attempt is one attempt of a request.
+// attempt is the state of one attempt of a request.
 type attempt struct {
-	request     *request
-	number      int
-	endpointID  balance.EndpointID
-	endpoint    *endpoint // nil: it is not listed any more
-	call        *upstream.Attempt
-	sentAt      float64
-	ended       bool
-	notExecuted bool // it is certain that it did not run
-	cancel      context.CancelFunc
-	released    chan struct{} // closed when nothing of it goes on: its connection is closed, or idle again
+	request         *request
+	number          int // index in request.attempts
+	endpointID      balance.EndpointID
+	endpoint        *endpoint // nil if the endpoint was not listed when the attempt began
+	upstreamAttempt *upstream.Attempt
+	startedAt       float64 // clock time in ms
+	ended           bool    // the attempt has its final result
+	notExecuted     bool    // the result proves that the endpoint did not execute the request
+	cancel          context.CancelFunc
+	released        chan struct{} // closed once the attempt uses no connection: closed, idle again or never opened
 }
 
-// startAttempt carries out an attempt in a goroutine of its own.
+// startAttempt adds an attempt to its request and carries it out in a goroutine of its own. An attempt that cannot
+// start ends as not sent.
 func (d *dispatcher) startAttempt(action *balance.Action) {
 	r := d.requests[action.Request]
 	if r == nil {
-		d.log.Error("attempt for a request that is over", "request", action.Request)
+		d.log.Error("cannot start an attempt: its request is not in the request table", "request", action.Request)
 		return
 	}
 	earlier := r.attempts
@@ -43,67 +44,73 @@
 	r.inFlight++
 	if a.endpoint == nil || r.closed {
 		close(a.released)
-		d.postpone(func() { d.attemptEnded(a, upstream.Response{Result: balance.NotSent, Err: errNoEndpoint}) })
+		d.postpone(func() { d.finishAttempt(a, upstream.Response{Result: balance.NotSent, Err: errAttemptNotStarted}) })
 		return
 	}
-	d.timers.add(timer{due: a.call.Deadline, attempt: a})
+	d.timers.add(timer{due: a.upstreamAttempt.Deadline, attempt: a})
 	d.loop.workers.Go(func() {
-		for _, e := range earlier { // one that was canceled stays out until its connection is closed: never two at once
+		// A canceled attempt counts as in flight until its connection is closed, and the attempts of a request must
+		// not overlap.
+		for _, e := range earlier {
 			<-e.released
 		}
-		response := d.pool.Do(ctx, a.call)
+		response := d.pool.Do(ctx, a.upstreamAttempt)
 		close(a.released)
-		d.loop.enqueue(func(d *dispatcher) { d.attemptEnded(a, response) })
+		d.loop.enqueue(func(d *dispatcher) { d.finishAttempt(a, response) })
 	})
 }
 
+// newAttempt returns the next attempt of a request, at the endpoint that the balancer chose.
 func (d *dispatcher) newAttempt(r *request, action *balance.Action, cancel context.CancelFunc) *attempt {
-	call := &upstream.Attempt{
+	upstreamAttempt := &upstream.Attempt{
 		Request:     r.Forwarded,
 		Deadline:    r.deadline,
-		StartBefore: r.keyRememberedUntil(),
+		StartBefore: r.dedupWindowEnd(),
 	}
 	if action.Deadline > 0 {
-		call.Deadline = math.Min(call.Deadline, action.Deadline)
+		upstreamAttempt.Deadline = math.Min(upstreamAttempt.Deadline, action.Deadline)
 	}
 	a := &attempt{
-		request:    r,
-		number:     len(r.attempts),
-		endpointID: action.Endpoint,
-		endpoint:   d.endpoints[action.Endpoint],
-		call:       call,
-		sentAt:     d.clock.Now(),
-		cancel:     cancel,
-		released:   make(chan struct{}),
+		request:         r,
+		number:          len(r.attempts),
+		endpointID:      action.Endpoint,
+		endpoint:        d.endpoints[action.Endpoint],
+		upstreamAttempt: upstreamAttempt,
+		startedAt:       d.clock.Now(),
+		cancel:          cancel,
+		released:        make(chan struct{}),
 	}
 	if a.endpoint != nil {
-		call.Endpoint = &a.endpoint.connections
+		upstreamAttempt.Endpoint = &a.endpoint.connections
 	}
 	return a
 }
 
-// keyRememberedUntil is when the request's idempotency key may be forgotten: it must not go out again after that.
-func (r *request) keyRememberedUntil() float64 {
-	until := math.Inf(1)
+// dedupWindowEnd returns the clock time in ms from which an endpoint may have forgotten the request's idempotency key.
+// The key must not be sent again after that, since the request could be executed twice. The result is +Inf for a
+// request without a key, and while all attempts are known not to have been executed.
+func (r *request) dedupWindowEnd() float64 {
+	end := math.Inf(1)
 	if r.idempotency != balance.IdempotentWithKey {
-		return until
+		return end
 	}
 	for _, a := range r.attempts {
 		if !a.notExecuted {
-			until = math.Min(until, a.sentAt+r.dedupWindow)
+			end = math.Min(end, a.startedAt+r.dedupWindow)
 		}
 	}
-	return until
+	return end
 }
 
-// attemptEnded reports the first end of an attempt to the balancer. Later ones are dropped.
-func (d *dispatcher) attemptEnded(a *attempt, response upstream.Response) {
+// finishAttempt reports the result of an attempt to the balancer and delivers a served response to the client. Only the
+// first result of an attempt counts; later ones are dropped.
+func (d *dispatcher) finishAttempt(a *attempt, response upstream.Response) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.cancel()
-	if response.Result == balance.TimedOut && a.call.Claim() { // its connection never came up
+	if response.Result == balance.TimedOut && a.upstreamAttempt.Claim() { // it was never sent
 		response = upstream.Response{Result: balance.ConnectFailed, Err: errConnectTimeout}
 	}
 	r := a.request
@@ -112,7 +119,7 @@
 	if response.Result == balance.OK && !r.closed {
 		d.deliver(r, Response{Result: balance.OK, Upstream: response})
 	}
-	latency := d.clock.Now() - a.sentAt
+	latency := d.clock.Now() - a.startedAt
 	d.stats.Attempts[response.Result]++
 	d.logAttempt(a, response, latency)
 	d.handle(balance.AttemptResult{
@@ -124,9 +131,10 @@
 		RequestClosed: r.closed,
 		LoadReport:    response.LoadReport,
 	})
-	d.removeIfOver(r)
+	d.removeIfDone(r)
 }
 
+// cancelAttempt cancels an attempt that is in flight, which closes its connection.
 func (d *dispatcher) cancelAttempt(action *balance.Action) {
 	r := d.requests[action.Request]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
@@ -136,7 +144,7 @@
 	if a.ended {
 		return
 	}
-	a.call.Claim()
+	a.upstreamAttempt.Claim()
 	a.cancel()
-	d.postpone(func() { d.attemptEnded(a, upstream.Response{Result: balance.Canceled}) })
+	d.postpone(func() { d.finishAttempt(a, upstream.Response{Result: balance.Canceled}) })
 }
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -42,20 +42,20 @@
 	full := nettest.NewStubServer(t, nettest.RespondWith(rejected))
 	working := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	h := newHarnessWithEndpoints(t, nettest.ClosedAddress(t), full.Addr, working.Addr)
-	for range 9 { // whichever endpoint comes first, a retry follows an attempt at one that is down or full
+	for range 9 { // whichever endpoint is tried first, a retry follows an attempt at one that is down or full
 		resp := h.do(nonIdempotentRequest("t"))
 		if resp.Result == balance.OK && string(resp.Upstream.Body) == "hi" {
 			return
 		}
-		if resp.Result != balance.Rejected { // nothing was executed
+		if resp.Result != balance.Rejected { // no attempt was executed
 			t.Fatalf("result %v, want %v", resp.Result, balance.Rejected)
 		}
 	}
 	t.Error("the request was never served")
 }
 
-// An attempt whose connection never comes up has not been executed, even if its deadline passes before the connect
-// timeout. So the request is rejected and the client can retry it.
+// An attempt whose connection is never established has not been executed, even if its deadline passes before the
+// connect timeout. So the request is rejected and the client can retry it.
 func TestConnectTimeoutIsNotExecuted(t *testing.T) {
 	h := newHarnessWithEndpoints(t, blackholeAddress(t))
 	if resp := h.do(nonIdempotentRequest("t").withTimeout(50)); resp.Result != balance.Rejected {
@@ -63,7 +63,7 @@
 	}
 }
 
-// blackholeAddress returns the address of a listener whose backlog is full, so that connections to it never come up.
+// blackholeAddress returns the address of a listener whose backlog is full, so that no connection to it is established.
 func blackholeAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for { // fill the backlog until a connection does not come up
+	for { // fills the backlog until a connection times out
 		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			return addr
@@ -91,8 +91,8 @@
 	}
 }
 
-// A canceled attempt counts as in flight until its connection is closed. The next attempt starts only then, however long
-// that takes, and requests without such an attempt are not delayed.
+// A canceled attempt counts as in flight until its connection is closed. The next attempt starts only then, however
+// long that takes, and requests without such an attempt are not delayed.
 func TestAttemptsNeverOverlap(t *testing.T) {
 	var firstClosed atomic.Bool
 	first := nettest.NewStubServer(t, nettest.NeverRespond)
@@ -134,8 +134,8 @@
 	}
 }
 
-// An attempt at an endpoint that is not in the table ends as not sent. If it is canceled at once, it still ends only
-// once.
+// An attempt at an endpoint that is not in the endpoint table ends with the result not_sent. If the balancer cancels
+// the attempt at once, both results are postponed, and only the first one counts.
 func TestAttemptToUnknownEndpoint(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.NeverRespond)
 	h := newHarnessWithEndpoints(t, stub.Addr)
@@ -168,7 +168,7 @@
 		}
 		timeouts <- timeout
 		if requests.Add(1) == 1 {
-			time.Sleep(failureDelay) // a slow endpoint that fails in the end
+			time.Sleep(failureDelay) // the endpoint is slow and then fails
 			io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// timerDelay makes the balancer's timers a little late: an attempt that times out at the same moment comes
-	// first, as the balancer expects.
-	timerDelay = 0.02      // ms
-	idleTick   = time.Hour // without any timer
+	// balancerTimerDelay, in ms, is added to each timer that the balancer sets. It makes an attempt that times out at
+	// the same moment end before the timer fires, which is the order that the balancer expects.
+	balancerTimerDelay = 0.02
+	// idleWakeInterval is how long the event loop waits for events when no timer is set.
+	idleWakeInterval = time.Hour
 )
 
-// dispatcher is the part of a Loop that runs on the loop's goroutine only: it owns the balancer, the tables and the
-// timers, hands the balancer events and carries out its actions.
+// dispatcher is the state of a Loop that only the loop's goroutine uses. It owns the balancer, the tables of requests
+// and endpoints, and the timers; it passes events to the balancer and carries out the balancer's actions.
 type dispatcher struct {
-	loop          *Loop
-	clock         clock.Clock
-	config        *config.Config
-	log           *slog.Logger
-	ctx           context.Context // ends with Loop.Run
-	balancer      *balance.Balancer
-	pool          *upstream.Pool
-	discovery     *discovery.Client
-	timers        timerHeap
-	requests      map[balance.RequestID]*request
-	traceIDs      map[string]bool // of the requests in the table
-	lastRequestID balance.RequestID
-	endpoints     map[balance.EndpointID]*endpoint
-	zones         []string // names by the numbers that the balancer knows
-	machineTypes  []string // likewise
-	generation    uint64   // of the endpoint list
-	stopWatch     context.CancelFunc
-	postponed     []func() // what is to run after the present actions
-	stats         Stats
-	loggedCount   int // attempts since the last status line
+	loop              *Loop
+	clock             clock.Clock
+	config            *config.Config
+	log               *slog.Logger
+	ctx               context.Context // the context of Loop.Run
+	balancer          *balance.Balancer
+	pool              *upstream.Pool
+	discovery         *discovery.Client
+	timers            timerHeap
+	requests          map[balance.RequestID]*request // the request table
+	traceIDs          map[string]bool                // the trace IDs of all requests in the request table
+	lastRequestID     balance.RequestID
+	endpoints         map[balance.EndpointID]*endpoint // the endpoint table: all listed endpoints
+	zones             []string                         // zone names, indexed by balance.Endpoint.Zone
+	machineTypes      []string                         // machine type names, indexed by balance.Endpoint.MachineType
+	generation        uint64                           // endpoint list generation; 0: a watch gets a snapshot
+	cancelWatch       context.CancelFunc               // ends the open watch; nil before the first one
+	postponed         []func()                         // functions to run after the actions of the current event
+	stats             Stats
+	failedSinceStatus int // failed attempts since the last status line
 }
 
+// newDispatcher returns the dispatcher of a loop. Loop.Run calls its start method.
 func newDispatcher(l *Loop, log *slog.Logger) *dispatcher {
 	return &dispatcher{
 		loop:         l,
@@ -61,6 +63,7 @@
 	}
 }
 
+// poolOptions returns the options of the upstream connection pool for a configuration.
 func poolOptions(clk clock.Clock, c *config.Config) upstream.Options {
 	return upstream.Options{
 		Clock:           clk,
@@ -72,18 +75,20 @@
 	}
 }
 
-// start begins the balancer's life with the cached endpoint list. The first watch asks for what came after it.
+// start starts the balancer and applies the cached endpoint list. The generation of the cached list is set first, so
+// that the first watch asks only for later changes.
 func (d *dispatcher) start() {
 	d.generation = d.config.CachedCatalog.Generation
 	d.execute(d.balancer.Start(d.clock.Now()))
 	d.applyCatalog(d.config.CachedCatalog, balance.CachedSnapshot)
 }
 
-// handle hands the balancer an event and executes what it decides.
+// handle passes an event to the balancer and executes the resulting actions, then the functions that were postponed
+// meanwhile. It returns the balancer's error if the event is invalid.
 func (d *dispatcher) handle(event balance.Event) error {
 	actions, err := d.balancer.Handle(d.clock.Now(), event)
 	if err != nil {
-		d.log.Warn("the balancer does not take an event", "err", err)
+		d.log.Warn("the balancer returned an error for an event", "err", err)
 		return err
 	}
 	d.execute(actions)
@@ -95,16 +100,19 @@
 	return nil
 }
 
-// postpone has f run after the present actions, which are valid until the next event only.
+// postpone schedules f to run after the actions of the current event. While actions are being executed, a function that
+// passes the next event to the balancer has to be postponed, because the actions are valid only until that event.
 func (d *dispatcher) postpone(f func()) { d.postponed = append(d.postponed, f) }
 
+// execute carries out actions of the balancer in their order.
 func (d *dispatcher) execute(actions []balance.Action) {
 	for i := range actions {
-		d.executeOne(&actions[i])
+		d.executeAction(&actions[i])
 	}
 }
 
-func (d *dispatcher) executeOne(action *balance.Action) {
+// executeAction carries out one action of the balancer.
+func (d *dispatcher) executeAction(action *balance.Action) {
 	switch action.Kind {
 	case balance.StartAttempt:
 		d.startAttempt(action)
@@ -115,7 +123,7 @@
 	case balance.CancelAttempt:
 		d.cancelAttempt(action)
 	case balance.SetTimer:
-		d.timers.add(timer{due: d.clock.Now() + action.Delay + timerDelay, token: action.Token})
+		d.timers.add(timer{due: d.clock.Now() + action.Delay + balancerTimerDelay, token: action.Token})
 	case balance.HealthCheck:
 		d.healthCheck(action.Endpoint)
 	case balance.CloseIdle:
@@ -135,21 +143,23 @@
 	}
 }
 
-// fireTimers handles the timers that are due.
+// fireTimers handles all timers that are due: it ends attempts whose deadline has passed, and passes the balancer its
+// own timers.
 func (d *dispatcher) fireTimers() {
 	for now := d.clock.Now(); len(d.timers) > 0 && d.timers[0].due <= now; now = d.clock.Now() {
-		t := d.timers.next()
+		t := d.timers.removeNext()
 		if t.attempt != nil {
-			d.attemptEnded(t.attempt, upstream.Response{Result: balance.TimedOut})
+			d.finishAttempt(t.attempt, upstream.Response{Result: balance.TimedOut})
 			continue
 		}
 		d.handle(balance.Timer{Token: t.token})
 	}
 }
 
+// untilNextTimer returns the time until the next timer is due, or idleWakeInterval if no timer is set.
 func (d *dispatcher) untilNextTimer() time.Duration {
 	if len(d.timers) == 0 {
-		return idleTick
+		return idleWakeInterval
 	}
 	return max(0, clock.Duration(d.timers[0].due-d.clock.Now()))
 }
--- a/internal/sidecar/endpoint.go
+++ b/internal/sidecar/endpoint.go
@@ -9,32 +9,34 @@
 	"pebblelift/internal/upstream"
 )
 
-// The paths of health checks: the load report, or just that the endpoint runs.
 const (
-	loadReportPath = "/_load"
-	pingPath       = "/ping"
+	loadReportPath = "/_load" // path of a health check whose response holds a load report
+	pingPath       = "/ping"  // path of a health check that only shows whether the endpoint responds
 )
 
-// endpoint is one instance of the catalog, kept while it is listed or attempts need it.
+// endpoint is one instance of the catalog. It is in the endpoint table while it is listed; attempts in flight keep
+// using it after it is removed from the table.
 type endpoint struct {
-	name        string
+	name        string // instance ID in the catalog
 	connections upstream.Endpoint
 }
 
-func endpointID(in *discovery.Instance) balance.EndpointID {
-	return balance.EndpointID(stablehash.String(in.ID))
+// endpointID returns the ID by which the balancer identifies an instance: the hash of its name in the catalog.
+func endpointID(instance *discovery.Instance) balance.EndpointID {
+	return balance.EndpointID(stablehash.String(instance.ID))
 }
 
-// applyCatalog takes in the endpoint list or a change of it.
-func (d *dispatcher) applyCatalog(c discovery.Catalog, kind balance.UpdateKind) {
-	d.generation = c.Generation
-	listed := make(map[balance.EndpointID]bool, len(c.Instances))
-	update := balance.EndpointUpdate{Kind: kind, Endpoints: make([]balance.Endpoint, 0, len(c.Instances))}
-	for i := range c.Instances {
-		entry := d.balancerEndpoint(&c.Instances[i])
+// applyCatalog updates the endpoint table by a snapshot or a delta of the endpoint list and passes the update to the
+// balancer.
+func (d *dispatcher) applyCatalog(catalog discovery.Catalog, kind balance.UpdateKind) {
+	d.generation = catalog.Generation
+	listed := make(map[balance.EndpointID]bool, len(catalog.Instances))
+	update := balance.EndpointUpdate{Kind: kind, Endpoints: make([]balance.Endpoint, 0, len(catalog.Instances))}
+	for i := range catalog.Instances {
+		entry := d.balancerEndpoint(&catalog.Instances[i])
 		listed[entry.ID] = true
 		update.Endpoints = append(update.Endpoints, entry)
-		d.applyInstance(&c.Instances[i], entry)
+		d.applyInstance(&catalog.Instances[i], entry)
 	}
 	if kind != balance.Delta {
 		d.removeUnlisted(listed)
@@ -42,25 +44,26 @@
 	d.handle(update)
 }
 
-func (d *dispatcher) applyInstance(in *discovery.Instance, entry balance.Endpoint) {
+// applyInstance adds an instance to the endpoint table, or updates or removes it.
+func (d *dispatcher) applyInstance(instance *discovery.Instance, entry balance.Endpoint) {
 	e := d.endpoints[entry.ID]
 	if e == nil {
 		if entry.Lifecycle == balance.Removed {
 			return
 		}
-		e = &endpoint{name: in.ID}
+		e = &endpoint{name: instance.ID}
 		d.endpoints[entry.ID] = e
 	}
-	d.pool.UpdateEndpoint(&e.connections, in.HostPort, entry.Lifecycle == balance.Ready)
+	d.pool.UpdateEndpoint(&e.connections, instance.HostPort, entry.Lifecycle == balance.Ready)
 	switch entry.Lifecycle {
 	case balance.Ready:
 		d.loop.ready.Store(true)
-	case balance.Removed: // attempts that are in flight keep what they need
+	case balance.Removed: // attempts in flight have their own pointer to the endpoint
 		delete(d.endpoints, entry.ID)
 	}
 }
 
-// removeUnlisted drops what the whole list does not name.
+// removeUnlisted removes the endpoints that a snapshot does not list.
 func (d *dispatcher) removeUnlisted(listed map[balance.EndpointID]bool) {
 	for id, e := range d.endpoints {
 		if !listed[id] {
@@ -70,17 +73,17 @@
 	}
 }
 
-// balancerEndpoint translates an entry of the catalog.
-func (d *dispatcher) balancerEndpoint(in *discovery.Instance) balance.Endpoint {
+// balancerEndpoint converts an instance of the catalog to the balancer's type.
+func (d *dispatcher) balancerEndpoint(instance *discovery.Instance) balance.Endpoint {
 	entry := balance.Endpoint{
-		ID:              endpointID(in),
-		StartedAt:       in.StartedAt,
-		NominalCapacity: in.Weight,
-		Cell:            in.Cell,
-		Zone:            indexOrAppend(&d.zones, in.Zone),
-		MachineType:     indexOrAppend(&d.machineTypes, in.MachineType),
+		ID:              endpointID(instance),
+		StartedAt:       instance.StartedAt,
+		NominalCapacity: instance.Weight,
+		Cell:            instance.Cell,
+		Zone:            indexOrAppend(&d.zones, instance.Zone),
+		MachineType:     indexOrAppend(&d.machineTypes, instance.MachineType),
 	}
-	switch in.Lifecycle {
+	switch instance.Lifecycle {
 	case discovery.LifecycleDraining:
 		entry.Lifecycle = balance.Draining
 	case discovery.LifecycleRemoved:
@@ -89,8 +92,9 @@
 	return entry
 }
 
-// indexOrAppend returns a name's place among the names. One that the settings do not have is no other's: the key of a
-// request may be known in its own zone only.
+// indexOrAppend returns the position of a name in names, to which it appends a missing name. Each zone or machine type
+// that the settings do not list gets a position of its own. Two unknown zones must not count as one, since an
+// idempotency key may be known in a single zone only.
 func indexOrAppend(names *[]string, name string) int {
 	i := slices.Index(*names, name)
 	if i < 0 {
@@ -100,7 +104,8 @@
 	return i
 }
 
-// healthCheck checks an endpoint in a goroutine of its own.
+// healthCheck checks an endpoint in a goroutine of its own and passes the result to the balancer. It requests a load
+// report if the settings say that endpoints provide load reports, and sends a ping otherwise.
 func (d *dispatcher) healthCheck(id balance.EndpointID) {
 	e := d.endpoints[id]
 	if e == nil {
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -22,31 +22,32 @@
 )
 
 const (
-	fleetSize       = 300
-	serviceTime     = 8 * time.Millisecond // of discovery, for each call
-	maxQueueingTime = 3 * time.Second      // a call that would have to wait longer fails
+	fleetSize       = 300                  // number of sidecars
+	serviceTime     = 8 * time.Millisecond // how long discovery takes to serve one call
+	maxQueueingTime = 3 * time.Second      // discovery fails a call that would have to wait longer than this
 )
 
-// outageKind says what discovery does with calls.
+// outageKind says how discovery treats calls during an outage.
 type outageKind string
 
 const (
 	noOutage           outageKind = ""
 	refusesConnections outageKind = "refuses connections"
 	closesConnections  outageKind = "closes connections"
-	neverResponds      outageKind = "never responds" // until the outage ends
+	neverResponds      outageKind = "never responds" // calls stay open without a response until the outage ends
 	sendsHeadersOnly   outageKind = "sends response headers only"
 )
 
-// fleetDiscovery is a discovery service that serves the calls of many sidecars one after the other, in virtual time.
+// fleetDiscovery simulates a discovery service that serves the calls of many sidecars one after the other, in virtual
+// time.
 type fleetDiscovery struct {
-	responseDelay time.Duration
+	responseDelay time.Duration // time from the end of a call's service to its response
 
 	mu           sync.Mutex
 	outage       outageKind
 	catalog      string
 	busyUntil    time.Time         // when all calls so far have been served
-	notifiedAt   map[int]time.Time // when each sidecar got the present catalog, by peer index
+	notifiedAt   map[int]time.Time // when each sidecar got the current catalog, by peer index
 	open         map[net.Conn]bool
 	stateChanged chan struct{} // closed by the next setState
 }
@@ -69,7 +70,7 @@
 	d.open = map[net.Conn]bool{}
 }
 
-// dial connects a sidecar.
+// dial opens a connection from the sidecar with the given peer index.
 func (d *fleetDiscovery) dial(peerIndex int) (net.Conn, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,7 +95,7 @@
 		io.Copy(io.Discard, c)
 		close(disconnected)
 	}()
-	// wait reports whether the call still stands after a while.
+	// wait waits for a while, and reports whether the call is still open afterwards.
 	wait := func(duration time.Duration) bool {
 		select {
 		case <-time.After(duration):
@@ -145,7 +146,7 @@
 	return d.catalog, queueingTime
 }
 
-// markNotified records when a sidecar first got a catalog, if it is still the present one.
+// markNotified records when a sidecar first got a catalog, if that is still the current one.
 func (d *fleetDiscovery) markNotified(peerIndex int, catalog string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +155,7 @@
 	}
 }
 
-// notified returns how many sidecars have the present catalog, and when the last of them got it.
+// notified returns how many sidecars have the current catalog, and when the last of them got it.
 func (d *fleetDiscovery) notified() (n int, last time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,7 +196,7 @@
 	}
 }
 
-// inBubble runs a test in virtual time, on one processor. With more of them the race detector of Go 1.26 crashes: the
+// inBubble runs a test in virtual time, on one processor. With more than one the race detector of Go 1.26 crashes: the
 // timers of a bubble share one race context, and a select on a timer's channel may run such a timer
 // (runtime.maybeRunChan) while the bubble's root goroutine runs others.
 func inBubble(t *testing.T, test func(t *testing.T)) {
@@ -243,8 +244,8 @@
 	}
 }
 
-// Of a fleet of sidecars that start at once at least nine in ten are ready within 10 s, whatever discovery does and
-// whatever their cached catalogs hold.
+// If all sidecars of a fleet start at once, at least nine in ten are ready within 10 s, whatever discovery does with
+// their calls and whatever their cached catalogs hold.
 func TestReadyWithinTimeout(t *testing.T) {
 	cachedCatalogs := map[string]string{
 		"an endpoint":          nettest.CachedCatalogJSON("127.0.0.1:1"),
@@ -272,7 +273,7 @@
 	d := &fleetDiscovery{}
 	d.setState(outage, nettest.CatalogJSON(2, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "up")))
 	if outage == noOutage {
-		d.responseDelay = 20 * time.Second // overloaded: no call gets a response in time
+		d.responseDelay = 20 * time.Second // discovery is overloaded, and no call gets a response in time
 	}
 	fleet, stop := d.startFleet(t, cachedCatalog)
 	defer stop()
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -15,8 +15,8 @@
 	"pebblelift/internal/nettest"
 )
 
-// gossipConfig returns the configuration of the sidecar with the given peer index. The address of the first peer doubles
-// as the broadcast address.
+// gossipConfig returns the configuration of the sidecar with the given peer index. The address of the first peer
+// doubles as the broadcast address.
 func gossipConfig(t *testing.T, peerIndex int, enabled bool, peers ...string) *config.Config {
 	t.Helper()
 	peerFields := fmt.Sprintf(`"my_number": %d, "peers_total": 40, `, peerIndex)
@@ -67,6 +67,7 @@
 	return l
 }
 
+// balancerStats returns the balancer's counts, read on the event loop.
 func balancerStats(l *Loop) balance.Stats {
 	stats := make(chan balance.Stats, 1)
 	l.enqueue(func(*dispatcher) { stats <- l.dispatcher.balancer.Stats() })
@@ -103,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	third.WriteTo(make([]byte, 400), firstAddr) // from the address of a peer
+	third.WriteTo(make([]byte, 400), firstAddr) // the sender is known, but the message is too long
 	nettest.Eventually(t, "the long message is dropped", func() bool {
 		return balancerStats(first).GossipDropped == 2
 	})
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -19,10 +19,10 @@
 	nonIdempotentClass
 )
 
-// requestTimeout is longer than any test takes.
-const requestTimeout = 9000 // ms
+// requestTimeout, in ms, is longer than any test takes.
+const requestTimeout = 9000
 
-// harness runs an event loop without the downstream server.
+// harness runs an event loop without the downstream server, until the end of the test.
 type harness struct {
 	t    *testing.T
 	loop *Loop
@@ -33,6 +33,8 @@
 	return newHarnessWithSettings(t, nettest.Settings, discovery, cachedCatalog)
 }
 
+// newHarnessWithSettings runs an event loop with a settings object. The configure functions change the loop before it
+// runs.
 func newHarnessWithSettings(
 	t *testing.T, settings, discovery, cachedCatalog string, configure ...func(*Loop),
 ) *harness {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -1,6 +1,6 @@
-// Package sidecar runs the balancer on real time and real connections: one goroutine, the event loop, owns the
-// balancer, the tables of requests and endpoints, and the timers. Everything else runs in goroutines of its own and
-// hands the loop functions to run.
+// Package sidecar runs the balancer in real time and over real connections. A single goroutine, the event loop, owns
+// the balancer, the tables of requests and endpoints, and the timers. Attempts, health checks and calls to discovery
+// run in goroutines of their own, which queue functions for the event loop to run.
 package sidecar
 
 import (
@@ -17,30 +17,33 @@
 )
 
 const (
-	// readinessTimeout is when a sidecar is ready without any endpoint in its list: clients are rejected at once
-	// with Retry-After, while discovery may be away for long. A process has 10 s to be ready.
+	// readinessTimeout is how long after its start a sidecar reports that it is ready although it knows no ready
+	// endpoint. It then rejects requests at once with Retry-After, since discovery may be unavailable for long. A
+	// process has to be ready within 10 s.
 	readinessTimeout = 5 * time.Second
-	queueSize        = 1024
+	// queueSize is how many functions can wait for the event loop before enqueue blocks.
+	queueSize = 1024
 )
 
-// Loop is the event loop. Its methods may be called from any goroutine. State that belongs to the loop's goroutine is in
-// the dispatcher, which only the functions in the queue are handed.
+// Loop is the event loop of a sidecar. Its methods may be called from any goroutine, except that OpenGossip must return
+// before Run is called. The state that only the loop's goroutine may use is in the dispatcher, which is passed to each
+// function in the queue.
 type Loop struct {
 	clock   clock.Clock
 	config  *config.Config
 	queue   chan func(*dispatcher)
-	ended   chan struct{}
-	workers sync.WaitGroup // goroutines that hand results to the queue
-	ready   atomic.Bool    // requests can be served
+	ended   chan struct{}  // closed when the loop takes no more functions from the queue
+	workers sync.WaitGroup // goroutines that add their results to the queue
+	ready   atomic.Bool    // the sidecar is ready for requests
 
-	// connectionStats counts clients' connections; nil: not known yet.
+	// connectionStats returns the counts of clients' connections; nil until SetConnectionStats is called.
 	connectionStats atomic.Pointer[func() ConnectionStats]
 
-	dispatcher *dispatcher       // Run's
-	gossip     *gossip.Transport // set before Run; nil: there is none
+	dispatcher *dispatcher       // used by the goroutine of Run only
+	gossip     *gossip.Transport // set before Run; nil if gossip is off
 }
 
-// NewLoop returns a loop; Run runs it.
+// NewLoop returns an event loop with the given clock, configuration and logger. Run runs it.
 func NewLoop(clk clock.Clock, c *config.Config, log *slog.Logger) *Loop {
 	l := &Loop{
 		clock:  clk,
@@ -52,8 +55,8 @@
 	return l
 }
 
-// OpenGossip opens the socket for messages between sidecars, if the settings allow any and there is an address. It is
-// called before Run.
+// OpenGossip opens the UDP socket for gossip between sidecars, if the settings allow gossip and the configuration has
+// an address to listen on. It must be called before Run. The error is that of the socket.
 func (l *Loop) OpenGossip() (err error) {
 	if !l.config.Settings.Balancer.Gossip || !l.config.Gossip.Listen.IsValid() {
 		return nil
@@ -62,16 +65,17 @@
 	return err
 }
 
-// Ready reports whether requests can be served.
+// Ready reports whether the sidecar is ready for requests: it has known a ready endpoint, or readinessTimeout has
+// passed since its start.
 func (l *Loop) Ready() bool { return l.ready.Load() }
 
-// Clock returns the clock by which the loop runs.
+// Clock returns the clock of the loop.
 func (l *Loop) Clock() clock.Clock { return l.clock }
 
-// Config returns the configuration, which does not change.
+// Config returns the configuration that the loop was created with. It does not change.
 func (l *Loop) Config() *config.Config { return l.config }
 
-// Run runs the loop until ctx ends, and returns when all that it started has ended.
+// Run runs the loop until ctx ends, and returns when all goroutines that the loop started have ended.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.workers.Wait()
 	defer close(l.ended)
@@ -82,28 +86,29 @@
 		l.workers.Go(l.receiveGossip)
 	}
 	d.start()
-	becomeReady := time.AfterFunc(readinessTimeout, func() { l.ready.Store(true) })
-	defer becomeReady.Stop()
-	tick := time.NewTimer(0)
-	defer tick.Stop()
-	status := time.NewTicker(statusInterval)
-	defer status.Stop()
+	readyTimer := time.AfterFunc(readinessTimeout, func() { l.ready.Store(true) })
+	defer readyTimer.Stop()
+	wake := time.NewTimer(0)
+	defer wake.Stop()
+	statusTicker := time.NewTicker(statusInterval)
+	defer statusTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case f := <-l.queue:
 			f(d)
-		case <-tick.C:
-		case <-status.C:
+		case <-wake.C:
+		case <-statusTicker.C:
 			d.logStatus()
 		}
 		d.fireTimers()
-		tick.Reset(d.untilNextTimer())
+		wake.Reset(d.untilNextTimer())
 	}
 }
 
-// enqueue runs f on the loop's goroutine, unless the loop has ended.
+// enqueue queues f to run on the loop's goroutine. It blocks while the queue is full. After the end of the loop f may
+// not run.
 func (l *Loop) enqueue(f func(*dispatcher)) {
 	select {
 	case l.queue <- f:
@@ -111,12 +116,13 @@
 	}
 }
 
-// Shutdown makes the balancer answer all requests, present and future, within a time.
-func (l *Loop) Shutdown(within time.Duration) {
-	l.enqueue(func(d *dispatcher) { d.handle(balance.Shutdown{Timeout: clock.Millis(within)}) })
+// Shutdown tells the balancer that the process is ending, so that all requests, including those that are still to
+// arrive, get their responses within the timeout.
+func (l *Loop) Shutdown(timeout time.Duration) {
+	l.enqueue(func(d *dispatcher) { d.handle(balance.Shutdown{Timeout: clock.Millis(timeout)}) })
 }
 
-// receiveGossip hands the balancer each message of another sidecar until the socket is closed.
+// receiveGossip passes each gossip message from another sidecar to the balancer, until the socket is closed.
 func (l *Loop) receiveGossip() {
 	l.gossip.Receive(func(sender int, data []byte) {
 		l.enqueue(func(d *dispatcher) { d.handle(balance.GossipMessage{Sender: sender, Data: data}) })
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -10,7 +10,7 @@
 )
 
 // The timeout of an attempt is handled before a timer of the balancer that is due at the same moment, so that the
-// balancer sees it as a timeout.
+// balancer gets the attempt's result as a timeout.
 func TestAttemptTimeoutPrecedesBalancerTimer(t *testing.T) {
 	cfg, err := config.Parse(nettest.ConfigJSON("127.0.0.1:1", "null", nettest.Settings))
 	if err != nil {
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -10,58 +10,69 @@
 )
 
 const (
-	// responseMargin is how long before the client's time is up its response is due: timers and writes take time.
-	responseMargin     = 4.0 // ms
-	marginsPerTimeout  = 10  // the margin is this part of the client's time at most
+	// responseMargin, in ms, is how long before the client's deadline its response is due, because timers and writes
+	// take time.
+	responseMargin = 4.0
+	// responseMarginDivisor limits the response margin to a tenth of the client's timeout.
+	responseMarginDivisor = 10
+	// minBalancerTimeout, in ms, is the least timeout that is passed to the balancer for a request. It keeps the
+	// timeout positive when a request gets to the event loop late.
 	minBalancerTimeout = 1e-3
 )
 
-// The reasons for which Do has no response.
+// The errors that methods of Loop return, besides those of their contexts.
 var (
+	// ErrNotAccepted means that the event loop did not accept the request, usually because a request with the same
+	// trace ID is in progress.
 	ErrNotAccepted = errors.New("trace id in use")
-	ErrStopped     = errors.New("the event loop has ended")
+	// ErrStopped means that the event loop ended before there was a result.
+	ErrStopped = errors.New("the event loop has ended")
 )
 
-// Request is a client's request as it was read.
+// Request is a client's request, parsed by the server that received it.
 type Request struct {
-	Forwarded   upstream.Request // what the endpoint gets
-	TraceID     string
-	Class       int // position in the settings
-	Tenant      int // position in the settings; -1: none
-	WorkHint    float64
-	AffinityKey uint64
-	IsRetry     bool
-	ArrivedAt   float64 // clock time
-	Timeout     float64 // ms that the client waits, from ArrivedAt
+	Forwarded   upstream.Request // the request that endpoints receive
+	TraceID     string           // unique among the requests in progress
+	Class       int              // position in the classes of the settings
+	Tenant      int              // position in the tenants of the settings; -1: none
+	WorkHint    float64          // work in ms that the client expects; 0: unknown
+	AffinityKey uint64           // hash of the object that the request is about; 0: none
+	IsRetry     bool             // the client says that it has sent the request before
+	ArrivedAt   float64          // clock time in ms
+	Timeout     float64          // how long the client waits from ArrivedAt on, in ms
 }
 
-// Response is what the client gets.
+// Response is the response to a client's request.
 type Response struct {
-	Result     balance.Result // OK: served. Rejected: a retry is safe. ServerError: it may have run
-	Upstream   upstream.Response
-	RetryAfter float64 // ms; 0: no advice
+	// Result is balance.OK if the request was served, balance.Rejected if it was certainly not executed, so that the
+	// client can safely retry it, or balance.ServerError if it failed and may have been executed.
+	Result     balance.Result
+	Upstream   upstream.Response // the endpoint's response, if Result is balance.OK
+	RetryAfter float64           // ms after which the client should retry; 0: no Retry-After
 }
 
-// request is a client's request until it is answered and its last attempt has ended.
+// request is a client's request in the request table. It stays there until it is closed and its last attempt has ended.
 type request struct {
 	Request
 	id          balance.RequestID
 	idempotency balance.Idempotency
-	dedupWindow float64
-	deadline    float64
-	response    chan Response // takes one
-	closed      bool          // answered, or its client has gone
+	dedupWindow float64       // ms for which endpoints remember the idempotency key
+	deadline    float64       // clock time in ms at which the response is due
+	response    chan Response // has room for the one response
+	closed      bool          // the response was sent, or the client has disconnected
 	attempts    []*attempt
-	inFlight    int
+	inFlight    int // attempts that have not ended
 }
 
-// Do serves a request and returns its response. It fails with ErrNotAccepted where a request of the same trace ID is in
-// the table, with the context's error where its client has gone, and with ErrStopped.
+// Do serves a request and returns its response. It returns ErrNotAccepted if the loop does not accept the request:
+// its trace ID is in use, the balancer returns an error for it, or the client disconnects or the loop ends before the
+// request is accepted. After that it returns the context's error if the client disconnects, and ErrStopped if the loop
+// ends.
 func (l *Loop) Do(ctx context.Context, in Request) (Response, error) {
 	responses := make(chan Response, 1)
 	accepted := make(chan *request, 1)
 	l.enqueue(func(d *dispatcher) {
-		if ctx.Err() != nil { // its client left while it waited for the loop
+		if ctx.Err() != nil { // the client disconnected while the request waited for the loop
 			accepted <- nil
 			return
 		}
@@ -79,21 +90,22 @@
 	case response := <-responses:
 		return response, nil
 	case <-ctx.Done():
-		l.enqueue(func(d *dispatcher) { d.clientCanceled(r) })
+		l.enqueue(func(d *dispatcher) { d.handleClientCancel(r) })
 		return Response{}, ctx.Err()
 	case <-l.ended:
 		return Response{}, ErrStopped
 	}
 }
 
-// acceptRequest returns nil where the trace ID is in use or the balancer does not take the request.
+// acceptRequest adds a request to the request table and passes it to the balancer. It returns nil if the trace ID is in
+// use or the balancer returns an error.
 func (d *dispatcher) acceptRequest(in Request, responses chan Response) *request {
 	if d.traceIDs[in.TraceID] {
 		return nil
 	}
 	class := d.config.Settings.Balancer.Classes[in.Class]
 	d.lastRequestID++
-	margin := math.Min(responseMargin, in.Timeout/marginsPerTimeout)
+	margin := math.Min(responseMargin, in.Timeout/responseMarginDivisor)
 	r := &request{
 		Request:     in,
 		id:          d.lastRequestID,
@@ -115,31 +127,32 @@
 		IsRetry:     in.IsRetry,
 	})
 	if err != nil {
-		d.remove(r)
+		d.removeRequest(r)
 		return nil
 	}
 	return r
 }
 
-// respond gives a request its one response. Later ones are dropped.
+// respond sends the response to a request, unless the request is closed.
 func (d *dispatcher) respond(id balance.RequestID, response Response) {
 	r := d.requests[id]
 	if r == nil || r.closed {
 		return
 	}
 	d.deliver(r, response)
-	d.removeIfOver(r)
+	d.removeIfDone(r)
 }
 
+// deliver closes a request and sends its response to Loop.Do.
 func (d *dispatcher) deliver(r *request, response Response) {
 	r.closed = true
 	d.stats.Responses[response.Result]++
 	r.response <- response
 }
 
-// clientCanceled ends a request whose client has gone. An attempt whose connection has yet to come up must not begin,
-// whatever the balancer may cancel.
-func (d *dispatcher) clientCanceled(r *request) {
+// handleClientCancel closes a request whose client has disconnected. An attempt whose connection is still being opened
+// must not be sent, even if the settings do not let the balancer cancel attempts.
+func (d *dispatcher) handleClientCancel(r *request) {
 	if r.closed {
 		return
 	}
@@ -147,20 +160,22 @@
 	d.stats.ClientsCanceled++
 	d.handle(balance.ClientCanceled{Request: r.id})
 	for _, a := range r.attempts {
-		if !a.ended && a.call.Claim() {
-			d.attemptEnded(a, upstream.Response{Result: balance.NotSent, Err: errClientGone})
+		if !a.ended && a.upstreamAttempt.Claim() {
+			d.finishAttempt(a, upstream.Response{Result: balance.NotSent, Err: errClientDisconnected})
 		}
 	}
-	d.removeIfOver(r)
+	d.removeIfDone(r)
 }
 
-func (d *dispatcher) removeIfOver(r *request) {
+// removeIfDone removes a request from the request table once it is closed and its last attempt has ended.
+func (d *dispatcher) removeIfDone(r *request) {
 	if r.closed && r.inFlight == 0 {
-		d.remove(r)
+		d.removeRequest(r)
 	}
 }
 
-func (d *dispatcher) remove(r *request) {
+// removeRequest removes a request from the request table, so that its trace ID can be used again.
+func (d *dispatcher) removeRequest(r *request) {
 	delete(d.requests, r.id)
 	delete(d.traceIDs, r.TraceID)
 }
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// statusInterval is how often a busy sidecar logs what it did.
+	// statusInterval is the time between two status lines in the log. No status line is written before the first
+	// request.
 	statusInterval = 5 * time.Second
-	// maxLoggedAttempts is how many attempts that failed have a line of their own between two status lines, which
-	// count all: on a bad day there would be one for each request.
+	// maxLoggedAttempts is how many failed attempts are logged individually between two status lines. Without the
+	// limit the log would get a line for each request while most requests fail. The status lines count all attempts.
 	maxLoggedAttempts = 100
 )
 
-// Stats is what the loop has seen since the start.
+// Stats holds counts of the event loop, since its start unless a field says otherwise.
 type Stats struct {
-	Requests          int
-	OpenRequests      int // in the table now
-	OpenTraceIDs      int // likewise
-	ClientsCanceled   int
-	Responses         [balance.ResultCount]int // by Response.Result
-	Attempts          [balance.ResultCount]int // by result
-	DiscoveryCalls    int
-	DiscoveryFailures int     // a watch that has ended counts as one
-	DiscoveryLatency  float64 // ms until the last watch brought its first message
+	Requests          int                      // requests added to the request table
+	OpenRequests      int                      // requests in the request table now
+	OpenTraceIDs      int                      // trace IDs in use now
+	ClientsCanceled   int                      // requests whose client disconnected before the response
+	Responses         [balance.ResultCount]int // responses to clients, by Response.Result
+	Attempts          [balance.ResultCount]int // ended attempts, by result
+	DiscoveryCalls    int                      // watches opened
+	DiscoveryFailures int                      // calls to discovery that failed, and watches that ended
+	DiscoveryLatency  float64                  // ms from the start of the latest watch to its first message
 }
 
-// ConnectionStats counts clients' connections.
+// ConnectionStats holds counts of clients' connections.
 type ConnectionStats struct {
-	Open     int
-	Accepted int64 // since the start
-	Rejected int64 // since the start, as there were too many
+	Open     int   // open connections
+	Accepted int64 // connections accepted since the start
+	Rejected int64 // connections rejected since the start because too many were open
 }
 
-// SetConnectionStats adds the counts of clients' connections to the status lines.
+// SetConnectionStats sets the function that returns the counts of clients' connections for the status lines.
 func (l *Loop) SetConnectionStats(stats func() ConnectionStats) { l.connectionStats.Store(&stats) }
 
-// Stats returns the counts, or ctx's error.
+// Stats returns the present counts. It returns ErrStopped if the loop has ended, or the error of ctx.
 func (l *Loop) Stats(ctx context.Context) (Stats, error) {
 	result := make(chan Stats, 1)
 	l.enqueue(func(d *dispatcher) {
@@ -59,46 +60,46 @@
 	}
 }
 
-// logStatus writes one line with all counts since the start and the balancer's view of the load. The difference of two
-// lines is what happened between them.
+// logStatus logs one line with all counts since the start and the balancer's view of the load. The difference between
+// the counts of two lines shows what happened between them.
 func (d *dispatcher) logStatus() {
-	d.loggedCount = 0
+	d.failedSinceStatus = 0
 	if d.stats.Requests == 0 {
 		return
 	}
-	b, s, conns := d.balancer.Stats(), &d.stats, d.pool.Stats()
+	lb, stats, poolStats := d.balancer.Stats(), &d.stats, d.pool.Stats()
 	d.log.Info("status",
-		"requests", s.Requests,
+		"requests", stats.Requests,
 		"open", len(d.requests),
 		slog.Group("responses",
-			"served", s.Responses[balance.OK],
-			"rejected", s.Responses[balance.Rejected],
-			"failed", s.Responses[balance.ServerError],
-			"canceled", s.ClientsCanceled),
+			"served", stats.Responses[balance.OK],
+			"rejected", stats.Responses[balance.Rejected],
+			"failed", stats.Responses[balance.ServerError],
+			"canceled", stats.ClientsCanceled),
 		slog.Group("unserved",
-			"past_objective", b.PastObjective,
-			"shed", b.Shed,
-			"retries_exhausted", b.RetriesExhausted,
-			"not_sent", b.NotSent),
-		slog.Group("attempts", s.attemptCounts()...),
+			"past_objective", lb.PastObjective,
+			"shed", lb.Shed,
+			"retries_exhausted", lb.RetriesExhausted,
+			"not_sent", lb.NotSent),
+		slog.Group("attempts", stats.attemptCounts()...),
 		slog.Group("load",
-			"base_shed_fraction", b.BaseShedFraction,
-			"overload", b.Overload,
-			"baseline_latency", b.BaselineLatency,
-			"short_term_latency", b.ShortTermLatency,
-			"concurrency_limit", b.ConcurrencyLimit),
-		slog.Group("endpoints", "listed", len(d.endpoints), "ejected", b.Ejected, "warming_up", b.WarmingUp),
+			"base_shed_fraction", lb.BaseShedFraction,
+			"overload", lb.Overload,
+			"baseline_latency", lb.BaselineLatency,
+			"short_term_latency", lb.ShortTermLatency,
+			"concurrency_limit", lb.ConcurrencyLimit),
+		slog.Group("endpoints", "listed", len(d.endpoints), "ejected", lb.Ejected, "warming_up", lb.WarmingUp),
 		slog.Group("discovery",
-			"calls", s.DiscoveryCalls,
-			"failed", s.DiscoveryFailures,
-			"latency_ms", s.DiscoveryLatency,
+			"calls", stats.DiscoveryCalls,
+			"failed", stats.DiscoveryFailures,
+			"latency_ms", stats.DiscoveryLatency,
 			"generation", d.generation),
-		slog.Group("connections", "open", conns.Open, "dials", conns.Dials, "reuses", conns.Reuses),
-		slog.Group("clients", d.clientCounts()...),
-		slog.Group("gossip", "received", b.GossipReceived, "dropped", b.GossipDropped))
+		slog.Group("connections", "open", poolStats.Open, "dials", poolStats.Dials, "reuses", poolStats.Reuses),
+		slog.Group("clients", d.clientConnectionCounts()...),
+		slog.Group("gossip", "received", lb.GossipReceived, "dropped", lb.GossipDropped))
 }
 
-// attemptCounts leaves out results that no attempt has had.
+// attemptCounts returns the number of attempts by result as log attributes. It omits results without attempts.
 func (s *Stats) attemptCounts() []any {
 	var attrs []any
 	for result, n := range s.Attempts {
@@ -109,32 +110,34 @@
 	return attrs
 }
 
-func (d *dispatcher) clientCounts() []any {
-	stats := d.loop.connectionStats.Load()
-	if stats == nil {
+// clientConnectionCounts returns the counts of clients' connections as log attributes, or nil if they are not known.
+func (d *dispatcher) clientConnectionCounts() []any {
+	connectionStats := d.loop.connectionStats.Load()
+	if connectionStats == nil {
 		return nil
 	}
-	s := (*stats)()
-	return []any{"open", s.Open, "accepted", s.Accepted, "rejected", s.Rejected}
+	stats := (*connectionStats)()
+	return []any{"open", stats.Open, "accepted", stats.Accepted, "rejected", stats.Rejected}
 }
 
-// logAttempt writes a line about an attempt that was not served, unless there have been too many.
+// logAttempt logs an attempt that failed, unless maxLoggedAttempts have been logged since the last status line. An
+// attempt that was canceled is not a failure.
 func (d *dispatcher) logAttempt(a *attempt, response upstream.Response, latency float64) {
 	if response.Result == balance.OK || response.Result == balance.Canceled {
 		return
 	}
-	d.loggedCount++
-	if d.loggedCount > maxLoggedAttempts {
+	d.failedSinceStatus++
+	if d.failedSinceStatus > maxLoggedAttempts {
 		return
 	}
-	name := ""
+	endpointName := ""
 	if a.endpoint != nil {
-		name = a.endpoint.name
+		endpointName = a.endpoint.name
 	}
 	d.log.Info("attempt",
 		"trace_id", a.request.TraceID,
 		"number", a.number,
-		"endpoint", name,
+		"endpoint", endpointName,
 		"result", response.Result.String(),
 		"latency_ms", latency,
 		"connection_idle", response.ConnectionIdle,
--- a/internal/sidecar/stats_test.go
+++ b/internal/sidecar/stats_test.go
@@ -11,8 +11,8 @@
 	"pebblelift/internal/nettest"
 )
 
-// The number of log lines for failed attempts is bounded in each status interval, so that the log does not grow with the
-// traffic when all attempts fail. The counts still include every attempt.
+// The number of log lines for failed attempts is bounded in each status interval, so that the log does not grow with
+// the traffic when all attempts fail. The counts still include every attempt.
 func TestAttemptLogIsBounded(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
 	h := newHarnessWithEndpoints(t, stub.Addr)
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -10,18 +10,19 @@
 	"pebblelift/internal/discovery"
 )
 
-// watch opens the standing watch, in place of the one before. The messages of a watch that was replaced are dropped.
+// watch opens a watch of the endpoint list from the current generation on, and closes the previous watch, whose
+// remaining messages are dropped. The response must begin within the timeout.
 func (d *dispatcher) watch(timeout time.Duration) {
-	if d.stopWatch != nil {
-		d.stopWatch()
+	if d.cancelWatch != nil {
+		d.cancelWatch()
 	}
-	ctx, stop := context.WithCancel(d.ctx)
-	d.stopWatch = stop
+	ctx, cancel := context.WithCancel(d.ctx)
+	d.cancelWatch = cancel
 	after, client, startedAt := d.generation, d.discovery, d.clock.Now()
 	d.stats.DiscoveryCalls++
 	d.loop.workers.Go(func() {
 		first := true
-		err := client.Watch(ctx, after, timeout, func(c discovery.Catalog) {
+		err := client.Watch(ctx, after, timeout, func(catalog discovery.Catalog) {
 			latency, isFirst := d.clock.Now()-startedAt, first
 			first = false
 			d.loop.enqueue(func(d *dispatcher) {
@@ -31,49 +32,51 @@
 				if isFirst {
 					d.stats.DiscoveryLatency = latency
 				}
-				d.handleCatalog(c)
+				d.handleCatalog(catalog)
 			})
 		})
 		d.loop.enqueue(func(d *dispatcher) {
 			if ctx.Err() == nil {
-				stop()
+				cancel()
 				d.handleDiscoveryError(err)
 			}
 		})
 	})
 }
 
-// fetch asks for the whole list once.
+// fetch gets a snapshot of the endpoint list from discovery.
 func (d *dispatcher) fetch() {
 	client := d.discovery
 	d.loop.workers.Go(func() {
-		c, err := client.Fetch(d.ctx)
+		catalog, err := client.Fetch(d.ctx)
 		d.loop.enqueue(func(d *dispatcher) {
 			if err != nil {
 				d.handleDiscoveryError(err)
 				return
 			}
-			d.handleCatalog(c)
+			d.handleCatalog(catalog)
 		})
 	})
 }
 
-// handleCatalog takes in a message of discovery. A change that is older than what is known is not taken, and the whole
-// list is asked for next: only that shows whether discovery has started anew.
-func (d *dispatcher) handleCatalog(c discovery.Catalog) {
+// handleCatalog applies a message from discovery, which is a snapshot or a delta. It does not apply a delta that is
+// older than the current endpoint list. Instead the next watch starts at generation 0, which brings a snapshot: only a
+// snapshot shows whether discovery has been restarted and counts its generations from the beginning.
+func (d *dispatcher) handleCatalog(catalog discovery.Catalog) {
 	switch {
-	case c.Reset:
-		d.applyCatalog(c, balance.Snapshot)
-	case c.Generation < d.generation:
-		err := fmt.Errorf("%w: %d after %d", discovery.ErrOutOfOrder, c.Generation, d.generation)
+	case catalog.Reset:
+		d.applyCatalog(catalog, balance.Snapshot)
+	case catalog.Generation < d.generation:
+		err := fmt.Errorf("%w: %d after %d", discovery.ErrOutOfOrder, catalog.Generation, d.generation)
 		d.generation = 0
-		d.stopWatch()
+		d.cancelWatch()
 		d.handleDiscoveryError(err)
 	default:
-		d.applyCatalog(c, balance.Delta)
+		d.applyCatalog(catalog, balance.Delta)
 	}
 }
 
+// handleDiscoveryError logs that a call to discovery failed or that a watch ended, and tells the balancer.
 func (d *dispatcher) handleDiscoveryError(err error) {
 	d.stats.DiscoveryFailures++
 	d.log.Info("discovery", "err", err)
@@ -84,8 +87,8 @@
 	d.handle(balance.EndpointUpdate{Kind: kind})
 }
 
-// SetDiscovery moves a running sidecar to another address of discovery. A standing watch, or one that is about to be
-// opened, moves at once, since the old address closes soon.
+// SetDiscovery changes the address of discovery while the loop runs. An open watch, or one that is about to be opened,
+// is replaced at once by a watch at the new address, since the old address closes soon.
 func (l *Loop) SetDiscovery(addr string) {
 	l.enqueue(func(d *dispatcher) {
 		d.discovery = discovery.NewClient(addr)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -17,7 +17,7 @@
 func TestDiscovery(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	calls := make(chan string, 9)
-	catalogs := make(chan string) // an empty one makes the call fail
+	catalogs := make(chan string) // an empty catalog makes the call fail
 	discovery := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		calls <- req.RequestURI
 		if len(req.URL.Query()["watch"]) == 0 {
