--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,6 @@
-// Command sidecar takes the application's requests and has them served by the endpoints. Its configuration is the file
-// that LB_CONFIG names; SIGHUP makes it read the address of discovery again, and SIGTERM ends it gracefully.
+// Command sidecar receives the application's HTTP requests and forwards them to the endpoints. The environment
+// variable LB_CONFIG holds the path of its configuration file. On SIGHUP the sidecar reads the address of discovery
+// from the file again, and on SIGTERM or SIGINT it shuts down gracefully.
 package main
 
 import (
@@ -29,54 +30,58 @@
 	}
 }
 
+// run runs the sidecar until it is told to shut down.
 func run() error {
-	// Neither is given back: a signal that comes as the process ends must not end it otherwise.
-	stop, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	// Neither registration is undone, since a signal that arrives during the shutdown must not kill the process.
+	shutdownCtx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	cfg, err := readConfig()
 	if err != nil {
 		return err
 	}
-	limitRuntime(cfg.Limits)
+	applyRuntimeLimits(cfg.Limits)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("listening for clients: %w", err)
 	}
 	loop := sidecar.NewLoop(clock.New(), &cfg, log)
 	if err := loop.OpenGossip(); err != nil {
 		listener.Close()
 		return err
 	}
-	alive, end := context.WithCancel(context.Background())
-	defer end()
-	go loop.Run(alive)
-	go reloadOnHangup(alive, hangup, loop, log)
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	defer stopLoop()
+	go loop.Run(loopCtx)
+	go reloadOnHangup(loopCtx, hangup, loop, log)
 	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen)
-	if err := downstream.NewServer(loop, log).Serve(stop, listener); err != nil {
+	if err := downstream.NewServer(loop, log).Serve(shutdownCtx, listener); err != nil {
 		return err
 	}
 	log.Info("stopped")
 	return nil
 }
 
-func limitRuntime(limits config.Limits) {
+// applyRuntimeLimits makes the Go runtime keep to the limits on cores and memory of the configuration.
+func applyRuntimeLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(limits.Processors())
 	if bytes := limits.RuntimeMemory(); bytes > 0 {
 		debug.SetMemoryLimit(bytes)
 	}
 }
 
+// readConfig reads and parses the configuration file.
 func readConfig() (config.Config, error) {
 	raw, err := os.ReadFile(os.Getenv(configVariable))
 	if err != nil {
-		return config.Config{}, fmt.Errorf("%s: %w", configVariable, err)
+		return config.Config{}, fmt.Errorf("reading the file that %s names: %w", configVariable, err)
 	}
 	return config.Parse(raw)
 }
 
-// reloadOnHangup reads the configuration again at each SIGHUP until ctx ends. One that cannot be read changes nothing.
+// reloadOnHangup reads the configuration file at each SIGHUP and applies its address of discovery, until ctx ends. A
+// file that cannot be read or is invalid changes nothing.
 func reloadOnHangup(ctx context.Context, hangup <-chan os.Signal, loop *sidecar.Loop, log *slog.Logger) {
 	for {
 		select {
@@ -86,7 +91,7 @@
 		}
 		cfg, err := readConfig()
 		if err != nil {
-			log.Error("the new configuration is not taken", "err", err)
+			log.Error("configuration could not be read after SIGHUP, keeping the current one", "err", err)
 			continue
 		}
 		loop.SetDiscovery(cfg.Discovery)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// startDiscovery starts a discovery service that never responds, and hands over each connection to it.
+// startDiscovery starts a discovery service that never responds. It sends each accepted connection to calls.
 func startDiscovery(t *testing.T) (addr string, calls <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,13 +55,13 @@
 	return ln.Addr().String(), conns
 }
 
-// startSidecar starts a sidecar process and returns the lines that it logs.
+// startSidecar starts a sidecar process and returns the lines that the process logs.
 func startSidecar(t *testing.T, configPath string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	return startCommand(t, exec.Command(os.Args[0]), configPath)
 }
 
-// startCommand starts a sidecar process by a command and returns the lines that it logs.
+// startCommand starts a sidecar process with the given command and returns the lines that the process logs.
 func startCommand(t *testing.T, cmd *exec.Cmd, configPath string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd.Env = append(os.Environ(), runAsSidecar+"=1", "LB_CONFIG="+configPath)
@@ -165,7 +165,7 @@
 	firstWatch := waitForCall(firstCalls)
 	writeConfig("{")
 	signal(syscall.SIGHUP)
-	waitForLog(lines, "not taken")
+	waitForLog(lines, "configuration could not be read after SIGHUP")
 	writeConfig(config(secondAddr))
 	signal(syscall.SIGHUP)
 	waitForCall(secondCalls)
@@ -188,7 +188,8 @@
 // soon as they are rejected or closed. The sidecar can still answer health checks, call discovery when it is up again,
 // connect to endpoints and serve requests.
 func TestIdleClientsFillDescriptors(t *testing.T) {
-	// Two free addresses. The clients of this test connect from another one, so they do not take these ports.
+	// The test needs two free addresses. Its clients connect from another address, so they do not take these
+	// ports.
 	discoveryPort, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		t.Fatal(err)
@@ -255,7 +256,7 @@
 	}
 	defer idleClients.Wait()
 	defer close(stop)
-	for rejected.Load() < 300 { // until all slots are in use
+	for rejected.Load() < 300 { // until the sidecar rejects clients because all descriptors for them are in use
 		status, _ := roundTrip(health)
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Fatalf("health: status %d, want %d or %d", status, http.StatusOK, http.StatusServiceUnavailable)
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts balancers for the simulator: frames come in on standard input, one reply to each goes
-// out on standard output.
+// Command simulator-adapter runs balancers for the simulator. It reads frames of events from standard input and writes
+// one reply, with the balancers' actions, to standard output for each frame.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"pebblelift/internal/simwire"
 )
 
-const inputBufferSize = 1 << 16
+const inputBufferSize = 1 << 16 // bytes that are buffered from standard input
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -24,13 +24,14 @@
 	}
 }
 
-// run answers frames until the input ends.
+// run replies to each frame until the end of the input. It returns an error for a malformed frame, for an event of an
+// instance that has not been started, and if reading or writing fails.
 func run(in io.Reader, out io.Writer) error {
-	h := host{instances: map[uint16]*balance.Balancer{}}
+	h := balancerHost{instances: map[uint16]*balance.Balancer{}}
 	reader := simwire.NewReader(bufio.NewReaderSize(in, inputBufferSize))
 	for {
 		h.reply.Reset()
-		err := reader.Read(h.handle)
+		err := reader.Read(h.handleRecord)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -43,14 +44,15 @@
 	}
 }
 
-// host keeps the instances of this process; they share nothing. A nil one could not start.
-type host struct {
-	instances map[uint16]*balance.Balancer
-	reply     simwire.Reply
+// balancerHost holds the balancers of this process. They are independent of each other.
+type balancerHost struct {
+	instances map[uint16]*balance.Balancer // by instance number; nil if the settings of the instance were invalid
+	reply     simwire.Reply                // the reply to the current frame
 }
 
-// handle hands one record to its instance. An instance whose settings are invalid ignores all further events.
-func (h *host) handle(clock float64, rec simwire.Record) (err error) {
+// handleRecord starts or stops an instance, or passes an event to its balancer. A panic becomes a fault message. clock
+// is the time of the frame in ms.
+func (h *balancerHost) handleRecord(clock float64, rec simwire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
@@ -58,16 +60,17 @@
 	}()
 	switch event := rec.Event.(type) {
 	case simwire.InstanceStart:
-		h.start(clock, rec.Instance, event)
+		h.startInstance(clock, rec.Instance, event)
 	case simwire.InstanceDown:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
-		return h.dispatch(clock, rec.Instance, event)
+		return h.handleEvent(clock, rec.Instance, event)
 	}
 	return nil
 }
 
-func (h *host) start(clock float64, instance uint16, event simwire.InstanceStart) {
+// startInstance starts a balancer for an instance. It reports invalid settings as a fault.
+func (h *balancerHost) startInstance(clock float64, instance uint16, event simwire.InstanceStart) {
 	cfg, err := settings.ParseConfig(event.Seed, event.Settings)
 	if err != nil {
 		h.instances[instance] = nil
@@ -79,10 +82,12 @@
 	h.reply.Add(instance, b.Start(clock))
 }
 
-func (h *host) dispatch(clock float64, instance uint16, event balance.Event) error {
+// handleEvent passes an event to the balancer of an instance and adds the actions, or a fault, to the reply. It ignores
+// events for an instance whose settings were invalid, and returns an error for one that has not been started.
+func (h *balancerHost) handleEvent(clock float64, instance uint16, event balance.Event) error {
 	b, started := h.instances[instance]
 	if !started {
-		return fmt.Errorf("event for instance %d, which has not started", instance)
+		return fmt.Errorf("event for instance %d, which has not been started", instance)
 	}
 	if b == nil {
 		return nil
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The codes of records in the simulator's frames. The codes of events and of actions overlap.
+// The codes of records in the simulator's frames. An event and an action may have the same code.
 const (
 	eventEndpointTable  uint16 = 1000
 	eventRequest        uint16 = 1010
@@ -28,11 +28,11 @@
 	setTimerSize     = 20
 )
 
-// script builds the adapter's input.
-type script struct{ bytes.Buffer }
+// inputBuilder builds the adapter's input.
+type inputBuilder struct{ bytes.Buffer }
 
 // frame appends a frame with the given records.
-func (s *script) frame(clock float64, records ...[]byte) {
+func (s *inputBuilder) frame(clock float64, records ...[]byte) {
 	size := 16
 	for _, r := range records {
 		size += len(r)
@@ -79,8 +79,8 @@
 	return record(eventRequest, instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
-// mustRun runs the adapter on the frames of a script and returns its replies.
-func mustRun(t *testing.T, s *script) []byte {
+// mustRun runs the adapter on an input and returns its replies.
+func mustRun(t *testing.T, s *inputBuilder) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(&s.Buffer, &out); err != nil {
@@ -89,7 +89,8 @@
 	return out.Bytes()
 }
 
-// countAttempts returns the number of attempts started by each instance. The replies must hold only attempts and timers.
+// countAttempts returns the number of attempts started by each instance. The replies must hold only attempts and
+// timers.
 func countAttempts(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	attempts := map[uint16]int{}
@@ -114,7 +115,7 @@
 // The actions of an instance do not depend on the other instances of its process.
 func TestActionsAreIndependentOfProcessCount(t *testing.T) {
 	runInstances := func(instances ...uint16) []byte {
-		s := &script{}
+		s := &inputBuilder{}
 		var first [][]byte
 		for _, i := range instances {
 			first = append(first, instanceStart(i, uint64(i)*7, testSettings), endpointTable(5), cachedSnapshot(i))
@@ -160,9 +161,9 @@
 	return out
 }
 
-// An instance can go down and start again within one frame. A timer of its earlier run is ignored.
+// An instance can go down and start again within one frame. A timer that its earlier run had set is ignored.
 func TestRestartWithinABatch(t *testing.T) {
-	s := &script{}
+	s := &inputBuilder{}
 	s.frame(1000,
 		instanceStart(1, 7, testSettings),
 		endpointTable(3),
@@ -172,7 +173,7 @@
 		instanceStart(1, 8, testSettings),
 		cachedSnapshot(1),
 		requestEvent(1, 6))
-	s.frame(1001, record(eventTimer, uint16(1), uint64(5))) // of the earlier run
+	s.frame(1001, record(eventTimer, uint16(1), uint64(5))) // the timer of request 5, which belongs to the earlier run
 	if n := countAttempts(t, mustRun(t, s)); n[1] != 2 {
 		t.Fatalf("%d attempts, want one in each run", n[1])
 	}
@@ -180,7 +181,7 @@
 
 // Invalid settings are reported to the simulator as a fault with the reason.
 func TestInvalidSettingsAreReported(t *testing.T) {
-	s := &script{}
+	s := &inputBuilder{}
 	s.frame(1000, instanceStart(1, 7, `{"classes": []}`), endpointTable(1), cachedSnapshot(1))
 	out := mustRun(t, s)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != actionFault || !strings.Contains(string(out), "no classes") {
@@ -190,11 +191,11 @@
 
 // An event for an instance that was not started and an invalid clock end the adapter with an error and without a reply.
 func TestInvalidInputEndsTheAdapter(t *testing.T) {
-	notStarted := &script{}
+	notStarted := &inputBuilder{}
 	notStarted.frame(1000, requestEvent(4, 1))
-	invalidClock := &script{}
+	invalidClock := &inputBuilder{}
 	invalidClock.frame(math.Inf(1))
-	for name, s := range map[string]*script{"instance not started": notStarted, "invalid clock": invalidClock} {
+	for name, s := range map[string]*inputBuilder{"instance not started": notStarted, "invalid clock": invalidClock} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
 			if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
@@ -206,14 +207,14 @@
 
 // Malformed frames end the adapter with an error and without a reply. The end of the input is not an error.
 func TestUnreadableFramesEndTheAdapter(t *testing.T) {
-	valid := &script{}
+	valid := &inputBuilder{}
 	valid.frame(1000, instanceStart(1, 7, testSettings), endpointTable(3), cachedSnapshot(1))
 	truncated := append([]byte(nil), valid.Bytes()[:valid.Len()-5]...)
 	oversized := append([]byte(nil), valid.Bytes()...)
 	binary.BigEndian.PutUint32(oversized[4:], 1<<31)
-	unknownCode := &script{}
+	unknownCode := &inputBuilder{}
 	unknownCode.frame(1000, record(uint16(77), uint16(1)))
-	excessiveCount := &script{}
+	excessiveCount := &inputBuilder{}
 	excessiveCount.frame(1000, record(eventEndpointTable, uint16(0), uint32(math.MaxUint32)))
 	for name, in := range map[string][]byte{
 		"truncated":            truncated,
@@ -236,7 +237,7 @@
 
 // Invalid settings fault only their own instance; the other instances of the process continue.
 func TestInvalidSettingsLeaveOtherInstancesAlone(t *testing.T) {
-	s := &script{}
+	s := &inputBuilder{}
 	s.frame(1000,
 		instanceStart(1, 7, `{"classes": 5}`),
 		instanceStart(2, 7, testSettings),
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,4 +1,4 @@
-// Package headers names the HTTP header fields of the protocol and reads and writes their values.
+// Package headers defines the HTTP header fields of the sidecar protocol, and parses and formats their values.
 package headers
 
 import (
@@ -9,33 +9,35 @@
 	"strings"
 )
 
-// The header fields between the application, its sidecar and the endpoints.
+// The names of the header fields that the application, its sidecar and the endpoints exchange.
 const (
-	TraceID        = "X-Trace-Id"
-	Class          = "X-Qos"
-	Tenant         = "X-Customer"
-	Timeout        = "X-Expires-In"
-	IdempotencyKey = "Idempotency-Key"
-	Retry          = "X-Second-Try"
-	WorkHint       = "X-Size-Hint"
-	NotExecuted    = "X-Never-Ran"
-	LoadReport     = "Endpoint-Load-Metrics"
+	TraceID        = "X-Trace-Id"            // in a request: its unique ID
+	Class          = "X-Qos"                 // in a request: the name of its class
+	Tenant         = "X-Customer"            // in a request: the name of its tenant
+	Timeout        = "X-Expires-In"          // in a request: how long its sender waits, see ParseTimeout
+	IdempotencyKey = "Idempotency-Key"       // in a request: the key by which endpoints recognize a repetition of it
+	Retry          = "X-Second-Try"          // in a request: 1 if the client has sent it before
+	WorkHint       = "X-Size-Hint"           // in a request: the work that the client expects, in microseconds
+	NotExecuted    = "X-Never-Ran"           // in a response: 1 if the endpoint did not execute the request
+	LoadReport     = "Endpoint-Load-Metrics" // in a response: the endpoint's load report, see ParseLoadReport
 )
 
-const maxTimeout = 1e12 // in the unit given
+// maxTimeout is the largest number that ParseTimeout accepts, whether it is in milliseconds or microseconds.
+const maxTimeout = 1e12
 
-// FormatTimeout writes a timeout in milliseconds as the value of a Timeout field.
+// FormatTimeout formats a timeout, given in milliseconds, as the value of a Timeout field in whole microseconds.
 func FormatTimeout(ms float64) string { return strconv.FormatInt(int64(ms*1000), 10) + "u" }
 
-// ParseTimeout reads the value of a Timeout field, such as 480m (milliseconds) or 1500u (microseconds), and returns
-// milliseconds.
+// ParseTimeout parses the value of a Timeout field, such as 480m (milliseconds) or 1500u (microseconds), and returns
+// the timeout in milliseconds. It returns an error for any other format, and for a number that is not above 0 or
+// exceeds maxTimeout.
 func ParseTimeout(text string) (ms float64, err error) {
 	invalid := fmt.Errorf("%s: %q", Timeout, text)
-	digits, unit := strings.TrimRight(text, "mu"), 1.0
+	digits, millisPerUnit := strings.TrimRight(text, "mu"), 1.0
 	switch text {
 	case digits + "m":
 	case digits + "u":
-		unit = 1e-3
+		millisPerUnit = 1e-3
 	default:
 		return 0, invalid
 	}
@@ -43,26 +45,26 @@
 	if err != nil || strings.Trim(digits, ".0123456789") != "" || !(value > 0) || value > maxTimeout {
 		return 0, invalid
 	}
-	return value * unit, nil
+	return value * millisPerUnit, nil
 }
 
-// ParseLoadReport reads a load report such as "TEXT name=value, name=value". The values come in the order of the
-// fields, NaN where one is missing; names that are not among the fields are skipped. It returns nil if there is no
-// value.
+// ParseLoadReport parses a load report such as "TEXT name=value, name=value". The result holds one value for each of
+// the fields, in their order, and NaN for a missing value. Names that are not among the fields are skipped. The result
+// is nil if the report has no value of any field.
 func ParseLoadReport(text string, fields []string) []float32 {
 	var report []float32
-	words := strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
-	for _, word := range words {
-		name, value, _ := strings.Cut(word, "=")
+	pairs := strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
+	for _, pair := range pairs {
+		name, value, _ := strings.Cut(pair, "=")
 		i := slices.Index(fields, name)
-		v, err := strconv.ParseFloat(value, 32)
+		number, err := strconv.ParseFloat(value, 32)
 		if i < 0 || err != nil {
 			continue
 		}
 		if report == nil {
 			report = slices.Repeat([]float32{float32(math.NaN())}, len(fields))
 		}
-		report[i] = float32(v)
+		report[i] = float32(number)
 	}
 	return report
 }
