--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// acquire reuses an idle connection for a round trip, or opens one.
-func (p *Pool) acquire(ctx context.Context, e *Endpoint, x *roundTrip) (*conn, error) {
-	if c := p.reuse(e, x); c != nil {
+// acquire returns a connection for a round trip: an idle one if there is any that can be reused, or a new one.
+func (p *Pool) acquire(ctx context.Context, e *Endpoint, rt *roundTrip) (*conn, error) {
+	if c := p.takeIdle(e, rt); c != nil {
 		return c, nil
 	}
-	addr, err := p.reserve(e)
+	addr, err := p.reserveSlot(e)
 	if err != nil {
 		return nil, err
 	}
@@ -25,14 +25,14 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c := newConn(nc, e, addr, x)
+	c := newConn(nc, e, addr, rt)
 	go p.readLoop(c)
 	return c, nil
 }
 
-// reuse takes the newest idle connection, which is the least likely to be closed by the endpoint, but skips
-// those in their quiet period. It returns nil if there is none.
-func (p *Pool) reuse(e *Endpoint, x *roundTrip) *conn {
+// takeIdle takes the most recently used idle connection, because the endpoint is least likely to close that one.
+// Connections in their quiet period are skipped. It returns nil if no connection can be reused.
+func (p *Pool) takeIdle(e *Endpoint, rt *roundTrip) *conn {
 	p.mu.Lock()
 	now, n := time.Now(), len(e.idle)
 	for n > 0 && now.Sub(e.idle[n-1].idleSince) < p.quietPeriod {
@@ -44,22 +44,23 @@
 	}
 	if now.Sub(e.idle[n-1].idleSince) > e.keepAlive.idleLimit(p.idleTimeout) {
 		p.mu.Unlock()
-		p.CloseIdle(e) // the others were idle for longer
+		p.CloseIdle(e) // the connections before this one have been idle for longer
 		return nil
 	}
 	defer p.mu.Unlock()
 	c := e.idle[n-1]
 	e.idle = slices.Delete(e.idle, n-1, n)
-	c.exchange = x
-	x.connectionIdle = now.Sub(c.idleSince)
+	c.roundTrip = rt
+	rt.connectionIdle = now.Sub(c.idleSince)
 	c.SetReadDeadline(time.Time{})
 	p.reuses++
 	return c
 }
 
-// reserve counts a new connection and returns the endpoint's address. At the bound it closes the connection that has
-// been idle the longest.
-func (p *Pool) reserve(e *Endpoint) (addr string, err error) {
+// reserveSlot counts a connection that is about to be opened and returns the endpoint's address. At the connection
+// limit it closes the connection that has been idle the longest, or returns ErrPoolExhausted if no connection is
+// idle.
+func (p *Pool) reserveSlot(e *Endpoint) (addr string, err error) {
 	p.mu.Lock()
 	p.dials++
 	addr = e.addr
@@ -71,16 +72,17 @@
 	oldest := p.oldestIdle()
 	if oldest == nil {
 		p.mu.Unlock()
-		return "", fmt.Errorf("%w: %d", ErrPoolExhausted, p.options.MaxConnections)
+		return "", fmt.Errorf("%w: limit %d", ErrPoolExhausted, p.options.MaxConnections)
 	}
 	oldest.endpoint.idle = oldest.endpoint.idle[1:]
-	oldest.counted = false // the new one is counted in its place
+	oldest.counted = false // the new connection takes over its slot in p.open
 	p.mu.Unlock()
 	oldest.Close()
 	return addr, nil
 }
 
-// oldestIdle is the connection that has been idle the longest; nil: none is idle. The caller holds mu.
+// oldestIdle returns the connection to any endpoint that has been idle the longest, or nil if no connection is idle.
+// The caller holds Pool.mu.
 func (p *Pool) oldestIdle() *conn {
 	var oldest *conn
 	for e := range p.idleEndpoints {
@@ -91,24 +93,25 @@
 	return oldest
 }
 
-// abandon closes a connection, but only while it carries the round trip: its response may have just come, and the
-// connection may carry another by now.
-func (p *Pool) abandon(c *conn, x *roundTrip) {
+// closeIfCurrent closes a connection unless it no longer carries the given round trip: if the response has just
+// arrived, the connection may already carry another round trip.
+func (p *Pool) closeIfCurrent(c *conn, rt *roundTrip) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.exchange == x {
+	if c.roundTrip == rt {
 		c.Close()
 	}
 }
 
-// release makes a connection idle, if it is of further use.
-func (p *Pool) release(c *conn, x *roundTrip) {
+// release marks a connection as idle after a round trip. It closes the connection instead if the endpoint has moved to
+// another address or takes no new requests.
+func (p *Pool) release(c *conn, rt *roundTrip) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.exchange != x {
+	if c.roundTrip != rt {
 		return
 	}
-	c.exchange = nil
+	c.roundTrip = nil
 	e := c.endpoint
 	if c.addr != e.addr || !e.Available() {
 		c.Close()
@@ -120,7 +123,7 @@
 	p.idleEndpoints[e] = struct{}{}
 }
 
-// remove counts a connection off. The caller holds mu.
+// remove deletes a connection from the idle lists and from the count of open connections. The caller holds Pool.mu.
 func (p *Pool) remove(c *conn) {
 	e := c.endpoint
 	if i := slices.Index(e.idle, c); i >= 0 {
--- a/internal/upstream/acquire_test.go
+++ b/internal/upstream/acquire_test.go
@@ -11,7 +11,7 @@
 	"pebblelift/internal/nettest"
 )
 
-// An attempt whose connection is refused has not been executed, and its connection no longer counts as open.
+// An attempt whose connection is refused is known not to have been executed. Its connection must not count as open.
 func TestRefusedConnectionIsNotExecuted(t *testing.T) {
 	pool := newTestPool(t, 9)
 	r := pool.Do(context.Background(), pool.newAttempt(&Endpoint{addr: nettest.ClosedAddress(t)}))
@@ -29,13 +29,13 @@
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	pool := newTestPool(t, 9)
 	endpoint := &Endpoint{addr: stub.Addr}
-	exchange := newRoundTrip("GET")
-	c, err := pool.acquire(context.Background(), endpoint, exchange)
+	rt := newRoundTrip("GET")
+	c, err := pool.acquire(context.Background(), endpoint, rt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool.release(c, exchange)
-	pool.abandon(c, exchange)
+	pool.release(c, rt)
+	pool.closeIfCurrent(c, rt)
 	r := pool.Do(context.Background(), pool.newAttempt(endpoint))
 	if r.Result != balance.OK || stub.Conns.Load() != 1 {
 		t.Errorf("result %v on %d connections, want %v on 1", r.Result, stub.Conns.Load(), balance.OK)
@@ -62,19 +62,19 @@
 	pool := newTestPool(t, 9)
 	endpoint := &Endpoint{addr: stub.Addr}
 	var conns []*conn
-	var exchanges []*roundTrip
+	var roundTrips []*roundTrip
 	for range 2 {
-		exchange := newRoundTrip("GET")
-		c, err := pool.acquire(context.Background(), endpoint, exchange)
+		rt := newRoundTrip("GET")
+		c, err := pool.acquire(context.Background(), endpoint, rt)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
-		exchanges = append(exchanges, exchange)
+		roundTrips = append(roundTrips, rt)
 	}
-	pool.release(conns[0], exchanges[0])
-	pool.release(conns[1], exchanges[1])
-	if c, _ := pool.acquire(context.Background(), endpoint, exchanges[0]); c != conns[1] {
+	pool.release(conns[0], roundTrips[0])
+	pool.release(conns[1], roundTrips[1])
+	if c, _ := pool.acquire(context.Background(), endpoint, roundTrips[0]); c != conns[1] {
 		t.Error("the connection that was released last is not reused")
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,135 +13,144 @@
 )
 
 const (
+	// readBufferSize is the size in bytes of a connection's read buffer.
 	readBufferSize = 4 << 10
-	// earlyResponseWait is how long the reader of a response waits for the writer of its request to report that all
-	// of it has left: it may just be a moment late.
+	// earlyResponseWait is how long the goroutine that has read a response waits for the goroutine that writes the
+	// request to report the end of the write, before the response counts as early. A response can be read a moment
+	// before the finished write is reported.
 	earlyResponseWait = 10 * time.Millisecond
 )
 
-// conn is a connection with its reader goroutine, which also notices a close by the endpoint while idle.
+// conn is a connection to an endpoint. Its reader goroutine (see Pool.readLoop) also notices when the endpoint closes
+// the connection while it is idle.
 type conn struct {
 	net.Conn
 	endpoint  *Endpoint
-	addr      string
+	addr      string // the address that was dialed; the endpoint's address may change later
 	reader    *bufio.Reader
-	limit     *limitedReader // the source of reader
-	idleSince time.Time
+	limited   *limitedReader // the source of reader, which bounds the size of a response
+	idleSince time.Time      // the end of the last round trip; zero before that
 
 	// Guarded by Pool.mu.
-	exchange *roundTrip // nil: idle
-	counted  bool       // among the open connections
+	roundTrip *roundTrip // the current round trip; nil if the connection is idle
+	counted   bool       // Pool.open includes this connection
 }
 
-func newConn(nc net.Conn, e *Endpoint, addr string, x *roundTrip) *conn {
-	limit := &limitedReader{source: nc}
+func newConn(nc net.Conn, e *Endpoint, addr string, rt *roundTrip) *conn {
+	limited := &limitedReader{source: nc}
 	return &conn{
 		Conn: nc, endpoint: e, addr: addr,
-		reader: bufio.NewReaderSize(limit, readBufferSize), limit: limit,
-		exchange: x, counted: true,
+		reader: bufio.NewReaderSize(limited, readBufferSize), limited: limited,
+		roundTrip: rt, counted: true,
 	}
 }
 
-// roundTrip is one request on a connection.
+// roundTrip is one request and its response on a connection.
 type roundTrip struct {
 	method         string
-	connectionIdle time.Duration // how long its connection had been idle; 0: it was opened for this
-	started        atomic.Bool   // its first byte may have left
-	written        chan struct{} // closed when all of it has left
-	done           chan Response // takes one
+	connectionIdle time.Duration // how long the connection had been idle before; 0 for a new connection
+	started        atomic.Bool   // the first byte of the request may have been sent
+	written        chan struct{} // closed when the write of the request has ended
+	done           chan Response // receives the one result; buffered
 }
 
 func newRoundTrip(method string) *roundTrip {
 	return &roundTrip{method: method, written: make(chan struct{}), done: make(chan Response, 1)}
 }
 
-// answeredEarly reports whether the response came though a part of the request has not left.
-func (x *roundTrip) answeredEarly() bool {
+// respondedEarly reports whether the response arrived although the request is not completely written. It waits up to
+// earlyResponseWait for the write to end.
+func (rt *roundTrip) respondedEarly() bool {
 	select {
-	case <-x.written:
+	case <-rt.written:
 		return false
 	case <-time.After(earlyResponseWait):
 		return true
 	}
 }
 
-// readLoop is a connection's reader goroutine: it takes in responses, and closes the connection when the endpoint does,
-// when it has been idle for too long or when unexpected bytes arrive.
+// readLoop runs in a connection's reader goroutine and reads responses. It closes the connection when the endpoint
+// closes it, when it has been idle for too long, when unexpected bytes arrive or when a response rules out its reuse.
 func (p *Pool) readLoop(c *conn) {
 	for {
-		c.limit.remaining = maxResponseSize
+		c.limited.remaining = maxResponseSize
 		_, err := c.reader.Peek(1)
-		x, next := p.beginResponse(c, err)
+		rt, next := p.nextReadStep(c, err)
 		switch next {
 		case retryRead:
 			continue
-		case endConnection:
+		case closeConnection:
 			c.Close()
-			if x != nil {
-				x.done <- failed(balance.Reset, connectionEnded(err))
+			if rt != nil {
+				rt.done <- failure(balance.Reset, connectionError(err))
 			}
 			return
 		}
-		r, reusable := p.readChecked(c, x)
+		r, reusable := p.receiveResponse(c, rt)
 		if reusable && c.reader.Buffered() == 0 {
-			p.release(c, x)
-			x.done <- r
+			p.release(c, rt)
+			rt.done <- r
 			continue
 		}
 		p.mu.Lock()
 		p.remove(c)
 		p.mu.Unlock()
 		c.Close()
-		x.done <- r
+		rt.done <- r
 		return
 	}
 }
 
-// connectionEnded says why a connection ended; err is nil where unexpected bytes arrived.
-func connectionEnded(err error) error {
+// connectionError returns an error that wraps ErrConnectionClosed and the read error. The read error is nil if
+// unexpected bytes arrived.
+func connectionError(err error) error {
 	if err == nil {
-		return ErrConnectionEnded
+		return ErrConnectionClosed
 	}
-	return fmt.Errorf("%w: %w", ErrConnectionEnded, err)
+	return fmt.Errorf("%w: %w", ErrConnectionClosed, err)
 }
 
-// readStep is what a reader goroutine does next.
+// readStep is what a reader goroutine does after its wait for the first byte of a response.
 type readStep int
 
 const (
-	readNext readStep = iota
-	retryRead
-	endConnection
+	parseResponse   readStep = iota // read the response that has begun
+	retryRead                       // wait again for the first byte
+	closeConnection                 // close the connection and end the goroutine
 )
 
-// beginResponse looks at what a connection carries when its first byte, or an error, has come.
-func (p *Pool) beginResponse(c *conn, err error) (*roundTrip, readStep) {
+// nextReadStep decides how to go on after the first byte or a read error has arrived on a connection. It returns the
+// current round trip, which is nil if the connection is idle, and records for the keep-alive estimator whether a
+// reused connection still worked.
+func (p *Pool) nextReadStep(c *conn, err error) (*roundTrip, readStep) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x := c.exchange
-	if x != nil && errors.Is(err, os.ErrDeadlineExceeded) { // it was acquired just as its idle time ended
-		return x, retryRead
+	rt := c.roundTrip
+	if rt != nil && errors.Is(err, os.ErrDeadlineExceeded) { // idle timeout just as the connection was acquired
+		return rt, retryRead
 	}
-	if x == nil || err != nil || !x.started.Load() {
+	if rt == nil || err != nil || !rt.started.Load() {
 		p.remove(c)
-		if x != nil && x.connectionIdle > 0 {
-			c.endpoint.keepAlive.recordLost(x.connectionIdle)
+		if rt != nil && rt.connectionIdle > 0 {
+			c.endpoint.keepAlive.recordLost(rt.connectionIdle)
 		}
-		return x, endConnection
+		return rt, closeConnection
 	}
-	c.endpoint.keepAlive.recordReused(x.connectionIdle)
-	return x, readNext
+	c.endpoint.keepAlive.recordReused(rt.connectionIdle)
+	return rt, parseResponse
 }
 
-// readChecked reads a response. If it arrived before all of the request was written, the connection is closed, as the
-// rest would be taken for the next request, and the response does not count, as it cannot belong to the request.
-func (p *Pool) readChecked(c *conn, x *roundTrip) (r Response, reusable bool) {
-	r, reusable = readResponse(c.reader, x.method, p.options.ReportFields)
-	if r.Result == balance.Reset || !x.answeredEarly() {
+// receiveResponse reads the response of a round trip and reports whether the connection can be reused. A connection
+// on which the response arrived before the request was completely written is not reused, because the endpoint would
+// take the rest of the request for the next one. Unless it is a rejection, an early response is replaced by
+// ErrEarlyResponse, because it cannot belong to a request that the endpoint has not received.
+func (p *Pool) receiveResponse(c *conn, rt *roundTrip) (r Response, reusable bool) {
+	r, reusable = readResponse(c.reader, rt.method, p.options.ReportFields)
+	if r.Result == balance.Reset || !rt.respondedEarly() {
 		return r, reusable
 	}
 	if r.Result != balance.Rejected {
-		r = failed(balance.Reset, ErrEarlyResponse)
+		r = failure(balance.Reset, ErrEarlyResponse)
 	}
 	return r, false
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -28,8 +28,8 @@
 	return c.Conn.Read(p)
 }
 
-// A connection that is acquired at the very moment of its idle timeout still carries its request: its reader has seen
-// the expired deadline, but not yet that the connection is in use again.
+// A connection that is acquired at the very moment of its idle timeout must still carry its request. The reader
+// goroutine may see the expired deadline before the connection is acquired and handle it afterwards.
 func TestAcquireAtIdleTimeout(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	nc, err := net.Dial("tcp", stub.Addr)
@@ -38,21 +38,21 @@
 	}
 	defer nc.Close()
 	pool := newTestPool(t, 9)
-	exchange := newRoundTrip("GET")
-	exchange.started.Store(true)
-	close(exchange.written)
-	limit := &limitedReader{source: &deadlineOnFirstRead{Conn: nc}}
+	rt := newRoundTrip("GET")
+	rt.started.Store(true)
+	close(rt.written)
+	limited := &limitedReader{source: &deadlineOnFirstRead{Conn: nc}}
 	c := &conn{
-		Conn:     nc,
-		endpoint: &Endpoint{addr: stub.Addr},
-		addr:     stub.Addr,
-		reader:   bufio.NewReader(limit),
-		limit:    limit,
-		exchange: exchange,
+		Conn:      nc,
+		endpoint:  &Endpoint{addr: stub.Addr},
+		addr:      stub.Addr,
+		reader:    bufio.NewReader(limited),
+		limited:   limited,
+		roundTrip: rt,
 	}
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	go pool.readLoop(c)
-	if r := nettest.Receive(t, exchange.done); r.Result != balance.OK {
+	if r := nettest.Receive(t, rt.done); r.Result != balance.OK {
 		t.Errorf("result %v (%v), want %v", r.Result, r.Err, balance.OK)
 	}
 }
@@ -75,8 +75,9 @@
 	}
 }
 
-// If an endpoint responds before it has read the whole request, the response is not accepted, as the endpoint does not
-// have the request. The connection is not reused, as the next request would be read as the rest of the first body.
+// If an endpoint responds before it has read the whole request, the response is not accepted, because the endpoint
+// does not have the request. The connection is not reused, because the endpoint would read the next request as the
+// rest of the first body.
 func TestResponseBeforeRequestIsWritten(t *testing.T) {
 	addr, conns := startHeaderOnlyServer(t, nettest.OKResponse)
 	pool := newTestPool(t, 9)
@@ -96,9 +97,9 @@
 	nettest.Receive(t, conns) // each request had its own connection
 }
 
-// If an endpoint sends a second response some milliseconds after the first, it must not be taken for the response to the
-// next request. So a connection is not reused during the quiet period after a response; another idle connection is used
-// or a new one is opened.
+// If an endpoint sends a second response some milliseconds after the first, the second response must not be taken for
+// the response to the next request. Therefore a connection is not reused during the quiet period after a response;
+// another idle connection is used or a new one is opened.
 func TestSecondResponse(t *testing.T) {
 	responded := make(chan net.Conn, 9)
 	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
--- a/internal/upstream/do.go
+++ b/internal/upstream/do.go
@@ -10,59 +10,62 @@
 	"pebblelift/internal/headers"
 )
 
-const healthCheckTimeout = 1000.0 // ms
+// healthCheckTimeout is the time in ms within which an endpoint must respond to a health check.
+const healthCheckTimeout = 1000.0
 
-// Do carries out an attempt. It returns when the attempt has ended, or soon after ctx has, which cancels the attempt
-// and closes its connection.
+// Do sends an attempt to its endpoint and returns the outcome. When ctx ends, Do cancels the attempt, closes its
+// connection and returns soon after.
 func (p *Pool) Do(ctx context.Context, a *Attempt) (r Response) {
-	x := newRoundTrip(a.Request.Method)
-	defer func() { r.ConnectionIdle = x.connectionIdle }()
-	c, err := p.acquire(ctx, a.Endpoint, x)
+	rt := newRoundTrip(a.Request.Method)
+	defer func() { r.ConnectionIdle = rt.connectionIdle }()
+	c, err := p.acquire(ctx, a.Endpoint, rt)
 	if err != nil {
-		return failed(balance.ConnectFailed, err)
+		return failure(balance.ConnectFailed, err)
 	}
 	now := p.options.Clock.Now()
-	if !p.mayStart(a, now) {
-		p.release(c, x)
-		return failed(balance.NotSent, ErrTooLate)
+	if !p.claimStart(a, now) {
+		p.release(c, rt)
+		return failure(balance.NotSent, ErrNotSent)
 	}
-	defer context.AfterFunc(ctx, func() { p.abandon(c, x) })() // also while the write is held up
-	if whole, err := p.write(c, x, a, now); err != nil {
-		p.abandon(c, x)
-		if whole { // the endpoint runs a request once it has its last byte
-			return failed(balance.Reset, err)
+	defer context.AfterFunc(ctx, func() { p.closeIfCurrent(c, rt) })() // also ends a blocked write
+	if complete, err := p.write(c, rt, a, now); err != nil {
+		p.closeIfCurrent(c, rt)
+		if complete { // the endpoint may execute a request once it has received the last byte
+			return failure(balance.Reset, err)
 		}
-		return failed(balance.ConnectFailed, err)
+		return failure(balance.ConnectFailed, err)
 	}
 	select {
-	case r := <-x.done:
+	case r := <-rt.done:
 		return r
 	case <-ctx.Done():
-		p.abandon(c, x)
-		return failed(balance.Canceled, ctx.Err())
+		p.closeIfCurrent(c, rt)
+		return failure(balance.Canceled, ctx.Err())
 	}
 }
 
-// mayStart reports whether an attempt may begin now that its connection is up. That may have taken long: meanwhile the
-// endpoint may have begun to drain, and the request's time or the time in which its key is known may have passed.
-func (p *Pool) mayStart(a *Attempt, now float64) bool {
-	if now >= a.StartBefore || now >= a.Deadline || a.Endpoint.drainGraceOver(now, p.options.DrainGrace) {
+// claimStart claims the start of an attempt whose connection is established and reports whether its request may be
+// sent. Connecting can take long: meanwhile the deadline may have passed, the endpoint's drain grace may be over, the
+// endpoint may forget the idempotency key (Attempt.StartBefore), or the attempt may have been canceled.
+func (p *Pool) claimStart(a *Attempt, now float64) bool {
+	if now >= a.StartBefore || now >= a.Deadline || a.Endpoint.drainGraceExpired(now, p.options.DrainGrace) {
 		return false
 	}
 	return a.Claim()
 }
 
-// write sends the request. It reports whether all of it has left.
-func (p *Pool) write(c *conn, x *roundTrip, a *Attempt, now float64) (whole bool, err error) {
+// write sends the request and reports whether it was completely written.
+func (p *Pool) write(c *conn, rt *roundTrip, a *Attempt, now float64) (complete bool, err error) {
 	c.SetWriteDeadline(p.options.Clock.Time(a.Deadline))
-	text := a.Request.encode(c.addr, a.Deadline-now)
-	x.started.Store(true)
-	n, err := c.Write(text)
-	close(x.written)
-	return n == len(text), err
+	data := a.Request.encode(c.addr, a.Deadline-now)
+	rt.started.Store(true)
+	n, err := c.Write(data)
+	close(rt.written)
+	return n == len(data), err
 }
 
-// HealthCheck asks an endpoint how it is. The load report comes in a header field or as the body.
+// HealthCheck sends a GET request for path to an endpoint. The load report is read from the header field of the
+// response or, if there is none, from the body.
 func (p *Pool) HealthCheck(ctx context.Context, e *Endpoint, path string) Response {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(healthCheckTimeout))
 	defer cancel()
--- a/internal/upstream/do_test.go
+++ b/internal/upstream/do_test.go
@@ -15,8 +15,8 @@
 	"pebblelift/internal/nettest"
 )
 
-// Connecting takes time. An attempt that may no longer start when its connection is up is not sent, so it is known not
-// to have been executed.
+// Connecting takes time. An attempt that may no longer start when its connection is established is not sent, so it is
+// known not to have been executed.
 func TestAttemptPastDeadlineIsNotSent(t *testing.T) {
 	for name, expire := range map[string]func(*Pool, *Attempt){
 		"the drain grace is over": func(p *Pool, a *Attempt) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Canceling an attempt closes its connection, which is how the endpoint learns of it.
+// Canceling an attempt closes its connection, which is how the endpoint learns of the cancellation.
 func TestCancelClosesConnection(t *testing.T) {
 	received := make(chan struct{}, 1)
 	stub := nettest.NewStubServer(t, func(net.Conn, *http.Request, string) bool {
@@ -62,8 +62,8 @@
 	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
 }
 
-// smallBuffers limits the buffers of a socket, so that the write of a large request blocks while the other end does not
-// read. It is a Control function of net.Dialer and net.ListenConfig.
+// smallBuffers limits the buffers of a socket, so that the write of a large request blocks while the other end does
+// not read. It is a Control function of net.Dialer and net.ListenConfig.
 func smallBuffers(_, _ string, c syscall.RawConn) (err error) {
 	const size = 4 << 10
 	controlErr := c.Control(func(fd uintptr) {
@@ -76,7 +76,7 @@
 }
 
 // startHeaderOnlyServer starts an endpoint that reads the headers of a request but not its body, and then sends the
-// response. It hands over each connection on which it has done so.
+// response. It sends each connection on which it has responded to the returned channel.
 func startHeaderOnlyServer(t *testing.T, response string) (addr string, responded <-chan net.Conn) {
 	t.Helper()
 	ln, err := (&net.ListenConfig{Control: smallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream carries attempts to the endpoints: connection pools, one HTTP/1.1 exchange at a time on each
-// connection, and what its end proves. It decides nothing: which endpoint gets an attempt, and what follows it, is
-// decided in package balance.
+// Package upstream sends attempts to endpoints over pooled HTTP/1.1 connections. Each connection carries one request
+// at a time. The package classifies the outcome of each attempt, above all whether the endpoint may have executed the
+// request. Package balance decides which endpoint gets an attempt and whether a retry follows.
 package upstream
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -5,15 +5,16 @@
 	"sync/atomic"
 )
 
-// Endpoint is one endpoint as its connections see it. Its zero value has no address.
+// Endpoint is the address, the availability and the idle connections of one endpoint. The zero value has no address
+// and is available; Pool.UpdateEndpoint sets both.
 type Endpoint struct {
-	// unavailableSince is when the sidecar was notified that the endpoint drains or is removed, as the bits of a
-	// clock time; 0: it takes requests.
+	// unavailableSince is the time at which the sidecar was notified that the endpoint drains or is removed: the bits
+	// (math.Float64bits) of a time of Options.Clock in ms. It is 0 while the endpoint takes requests.
 	unavailableSince atomic.Uint64
 
 	// Guarded by Pool.mu.
 	addr      string
-	idle      []*conn // newest last
+	idle      []*conn // in the order of idleSince, the most recently used last
 	keepAlive keepAliveEstimator
 }
 
@@ -28,8 +29,9 @@
 	}
 }
 
-// drainGraceOver reports whether the time in which requests may still begin is as good as over.
-func (e *Endpoint) drainGraceOver(now, grace float64) bool {
+// drainGraceExpired reports whether an unavailable endpoint no longer takes new attempts at now (clock time in ms). An
+// endpoint takes them for drainGraceFraction of the drain grace (ms) after it became unavailable.
+func (e *Endpoint) drainGraceExpired(now, grace float64) bool {
 	since := math.Float64frombits(e.unavailableSince.Load())
-	return since > 0 && now >= since+drainGracePart*grace
+	return since > 0 && now >= since+drainGraceFraction*grace
 }
--- a/internal/upstream/keep_alive.go
+++ b/internal/upstream/keep_alive.go
@@ -5,46 +5,55 @@
 )
 
 const (
-	idleFraction    = 0.8 // of the time after which an endpoint closes an idle connection: we close it first
-	minLearnedIdle  = 20 * time.Millisecond
-	relearnInterval = 10 * time.Second
+	// idleTimeoutFraction is the fraction of an endpoint's idle timeout for which the pool reuses an idle connection.
+	// It is below 1 so that the pool closes an idle connection before the endpoint does.
+	idleTimeoutFraction = 0.8
+	// minLearnedIdleLimit is the shortest idle limit that a keepAliveEstimator learns. A connection that was lost
+	// after a shorter idle time was hardly lost because it was idle.
+	minLearnedIdleLimit = 20 * time.Millisecond
+	// learnedLimitTTL is how long a learned idle limit applies. After that, longer idle times are tried again.
+	learnedLimitTTL = 10 * time.Second
 )
 
-// keepAliveEstimator learns how long an endpoint's idle connections can be used. Some endpoints forget theirs far
-// sooner than the settings say, and show it only by a reset of the next request, which may not always be sent again.
+// keepAliveEstimator learns after how much idle time an endpoint drops its connections. Some endpoints drop them far
+// sooner than the settings say, which shows only when the next request on the connection is reset, and not every such
+// request may be retried.
 type keepAliveEstimator struct {
-	suspectIdle time.Duration // idle time of the last connection that was lost; 0: a longer one has worked since
-	maxIdle     time.Duration // none is used that was idle for longer; 0: as the settings say
-	learnedAt   time.Time
+	// candidateLimit is the idle time of the last lost connection. It is 0 if no connection was lost since a limit was
+	// learned, or if a connection that had been idle for at least as long has worked since the loss.
+	candidateLimit time.Duration
+	learnedLimit   time.Duration // connections that were idle for longer are not reused; 0 if no limit was learned
+	learnedAt      time.Time     // when learnedLimit was set
 }
 
-// recordLost takes in that a connection was lost after some idle time. Connections are lost by chance too: only two in
-// a row, with none that idled longer working between them, show a limit. One lost sooner than minLearnedIdle was hardly
-// lost for being idle.
+// recordLost records that a connection was lost when it was reused after some idle time. Because connections are also
+// lost by chance, a limit is learned only from two losses in a row, without a connection working in between that had
+// been idle for at least as long as the first lost one. Losses after less than minLearnedIdleLimit are ignored.
 func (k *keepAliveEstimator) recordLost(idle time.Duration) {
 	switch {
-	case idle < minLearnedIdle:
-	case k.suspectIdle == 0:
-		k.suspectIdle = idle
+	case idle < minLearnedIdleLimit:
+	case k.candidateLimit == 0:
+		k.candidateLimit = idle
 	default:
-		shorter := min(idle, k.suspectIdle)
-		k.maxIdle = max(minLearnedIdle, time.Duration(idleFraction*float64(shorter)))
+		shorter := min(idle, k.candidateLimit)
+		k.learnedLimit = max(minLearnedIdleLimit, time.Duration(idleTimeoutFraction*float64(shorter)))
 		k.learnedAt = time.Now()
-		k.suspectIdle = 0
+		k.candidateLimit = 0
 	}
 }
 
-// recordReused takes in that a connection worked after some idle time.
+// recordReused records that a connection still worked after some idle time.
 func (k *keepAliveEstimator) recordReused(idle time.Duration) {
-	if idle >= k.suspectIdle {
-		k.suspectIdle = 0
+	if idle >= k.candidateLimit {
+		k.candidateLimit = 0
 	}
 }
 
-// idleLimit is how long a connection may have been idle to be used. What was learned is tried anew from time to time.
+// idleLimit returns the longest idle time after which a connection may be reused: the configured limit, or a shorter
+// learned limit until that expires.
 func (k *keepAliveEstimator) idleLimit(configured time.Duration) time.Duration {
-	if k.maxIdle > 0 && time.Since(k.learnedAt) < relearnInterval {
-		return min(k.maxIdle, configured)
+	if k.learnedLimit > 0 && time.Since(k.learnedAt) < learnedLimitTTL {
+		return min(k.learnedLimit, configured)
 	}
 	return configured
 }
--- a/internal/upstream/keep_alive_test.go
+++ b/internal/upstream/keep_alive_test.go
@@ -13,8 +13,8 @@
 	"pebblelift/internal/nettest"
 )
 
-// If an endpoint drops idle connections and resets them at the next request, only two requests are lost until the pool
-// has learned the limit.
+// If an endpoint drops idle connections and resets each one at the next request, the pool must learn the idle limit
+// from two lost requests.
 func TestKeepAliveLimitIsLearned(t *testing.T) {
 	var mu sync.Mutex
 	served := map[net.Conn]bool{}
@@ -50,16 +50,16 @@
 	}
 }
 
-// Isolated losses of connections do not set a limit; two losses in a row do. A learned limit expires after a while, so
-// that longer idle times are tried again.
+// A single loss of an idle connection, which can happen by chance, does not set an idle limit; two losses in a row
+// do. A learned limit expires after a while, so that longer idle times are tried again.
 func TestKeepAliveIgnoresSingleLoss(t *testing.T) {
 	const configured, ms = 8 * time.Second, time.Millisecond
 	var estimator keepAliveEstimator
-	for range 5 { // between two losses a longer idle time works, or the connections were hardly idle
+	for range 5 { // a longer idle time works between two losses, or the lost connections were hardly idle
 		estimator.recordLost(100 * ms)
 		estimator.recordReused(150 * ms)
-		estimator.recordLost(minLearnedIdle / 2)
-		estimator.recordLost(minLearnedIdle / 2)
+		estimator.recordLost(minLearnedIdleLimit / 2)
+		estimator.recordLost(minLearnedIdleLimit / 2)
 	}
 	if got := estimator.idleLimit(configured); got != configured {
 		t.Errorf("idle limit %v after isolated losses, want %v", got, configured)
@@ -70,7 +70,7 @@
 	if got := estimator.idleLimit(configured); got >= 150*ms || got < 50*ms {
 		t.Errorf("idle limit %v after losses at 200 and 150 ms, want one from 50 to below 150 ms", got)
 	}
-	estimator.learnedAt = estimator.learnedAt.Add(-relearnInterval)
+	estimator.learnedAt = estimator.learnedAt.Add(-learnedLimitTTL)
 	if got := estimator.idleLimit(configured); got != configured {
 		t.Errorf("idle limit %v after the learned one has expired, want %v", got, configured)
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,43 +10,48 @@
 )
 
 const (
-	defaultIdleTimeout    = 10 * time.Second
+	// defaultIdleTimeout is the time after which endpoints are assumed to close idle connections if the options give
+	// none.
+	defaultIdleTimeout = 10 * time.Second
+	// defaultConnectTimeout is the time within which a connection must be established if the options give none.
 	defaultConnectTimeout = time.Second
-	// quietPeriod is how long a connection is left alone after a response: second responses came up to 4 ms behind
-	// the first.
+	// quietPeriod is how long a connection is not reused after a response. Some endpoints send a second response to
+	// the same request, up to 4 ms after the first; on a reused connection it would be taken for the response to the
+	// next request.
 	quietPeriod = 20 * time.Millisecond
-	// drainGracePart of the drain grace is left for requests to begin: the endpoint sees them a little later.
-	drainGracePart = 0.9
+	// drainGraceFraction is the fraction of an endpoint's drain grace in which new attempts may start. It is below 1
+	// because a request reaches the endpoint a little after it was sent.
+	drainGraceFraction = 0.9
 )
 
-// Options configure a Pool.
+// Options configures a Pool.
 type Options struct {
-	Clock           clock.Clock
-	MaxConnections  int
-	ConnectTimeout  time.Duration // 0: a default
-	ConnIdleTimeout time.Duration // after which endpoints close idle connections; 0: a default
-	DrainGrace      float64       // ms in which requests may begin after an endpoint became unavailable
-	ReportFields    []string      // the names of the values of load reports, in order
+	Clock           clock.Clock   // the clock of Attempt.Deadline and Attempt.StartBefore
+	MaxConnections  int           // limit on open connections to all endpoints together
+	ConnectTimeout  time.Duration // limit on the time to establish a connection; 0 for a default
+	ConnIdleTimeout time.Duration // time after which endpoints close idle connections; 0 for a default
+	DrainGrace      float64       // ms after an endpoint became unavailable in which it still takes requests
+	ReportFields    []string      // names of the values in Response.LoadReport, in order
 
-	// Control is called for each new socket before it connects, as net.Dialer.Control; nil: nothing is.
+	// Control is called for each new socket before it connects, like net.Dialer.Control. It may be nil.
 	Control func(network, address string, c syscall.RawConn) error
 }
 
-// Pool holds the connections to all endpoints. They carry one request at a time.
+// Pool holds the connections to all endpoints. Each connection carries one request at a time.
 type Pool struct {
 	options     Options
 	dialer      net.Dialer
-	idleTimeout time.Duration
-	quietPeriod time.Duration
+	idleTimeout time.Duration // after which the pool closes an idle connection
+	quietPeriod time.Duration // in which a connection is not reused after a response
 
 	mu            sync.Mutex
-	open          int
-	idleEndpoints map[*Endpoint]struct{} // those with idle connections
-	dials         int
-	reuses        int
+	open          int                    // open connections, with those that are being established
+	idleEndpoints map[*Endpoint]struct{} // endpoints that have idle connections
+	dials         int                    // see Stats.Dials
+	reuses        int                    // see Stats.Reuses
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns a pool without any connections. It replaces zero timeouts in o by defaults.
 func NewPool(o Options) *Pool {
 	if o.ConnectTimeout <= 0 {
 		o.ConnectTimeout = defaultConnectTimeout
@@ -56,29 +61,29 @@
 	}
 	return &Pool{
 		options:       o,
-		dialer:        net.Dialer{KeepAlive: -1, Control: o.Control}, // attempts have deadlines of their own
-		idleTimeout:   time.Duration(idleFraction * float64(o.ConnIdleTimeout)),
+		dialer:        net.Dialer{KeepAlive: -1, Control: o.Control}, // no TCP keep-alive, as attempts have deadlines
+		idleTimeout:   time.Duration(idleTimeoutFraction * float64(o.ConnIdleTimeout)),
 		quietPeriod:   quietPeriod,
 		idleEndpoints: map[*Endpoint]struct{}{},
 	}
 }
 
-// Stats counts connections.
+// Stats holds counts of the connections to all endpoints.
 type Stats struct {
-	Open   int
-	Dials  int // since the start
-	Reuses int // since the start
+	Open   int // connections that are open now, with those that are being established
+	Dials  int // attempts since the start for which no idle connection could be reused
+	Reuses int // attempts since the start that reused an idle connection
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Stats{Open: p.open, Dials: p.dials, Reuses: p.reuses}
 }
 
-// UpdateEndpoint sets where an endpoint listens, if an address is given, and whether it takes requests. Idle
-// connections that are of no more use are closed.
+// UpdateEndpoint sets whether an endpoint takes requests and, unless addr is empty, the address (host:port) at which
+// it listens. It closes the endpoint's idle connections if the address has changed or the endpoint takes no requests.
 func (p *Pool) UpdateEndpoint(e *Endpoint, addr string, available bool) {
 	if available {
 		e.markAvailable()
@@ -86,12 +91,12 @@
 		e.markUnavailable(p.options.Clock.Now())
 	}
 	p.mu.Lock()
-	moved := addr != "" && addr != e.addr
-	if moved {
+	addressChanged := addr != "" && addr != e.addr
+	if addressChanged {
 		e.addr = addr
 	}
 	p.mu.Unlock()
-	if moved || !available {
+	if addressChanged || !available {
 		p.CloseIdle(e)
 	}
 }
@@ -104,6 +109,6 @@
 	delete(p.idleEndpoints, e)
 	p.mu.Unlock()
 	for _, c := range idle {
-		c.Close() // its reader goroutine ends and counts it off
+		c.Close() // its reader goroutine then ends and removes it from the count
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -26,7 +26,7 @@
 	return p
 }
 
-// newAttempt returns an attempt of a GET request with plenty of time.
+// newAttempt returns an attempt of a GET request with a deadline in 30 s.
 func (p *Pool) newAttempt(e *Endpoint) *Attempt {
 	return &Attempt{
 		Endpoint:    e,
@@ -36,6 +36,7 @@
 	}
 }
 
+// openConnections returns the number of connections that count towards the limit.
 func (p *Pool) openConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,13 +9,15 @@
 	"pebblelift/internal/headers"
 )
 
-// MaxBodySize bounds the bodies of requests and responses, by the protocol.
+// MaxBodySize is the largest size in bytes of a request or response body that the protocol between application,
+// sidecar and endpoints allows.
 const MaxBodySize = 64 << 10
 
-// Request is a request as it goes on to an endpoint.
+// Request is a request to forward to an endpoint. The HTTP version and the Host, timeout and Content-Length fields are
+// added when the request is written.
 type Request struct {
 	Method string
-	Target string // path and query, unchanged
+	Target string // path and query, unchanged from the client's request
 	Header []HeaderField
 	Body   []byte
 }
@@ -23,7 +25,8 @@
 // HeaderField is one header field of a Request.
 type HeaderField struct{ Name, Value string }
 
-// encode writes the request as HTTP/1.1, all at once. The endpoint is told how long the sidecar will wait.
+// encode returns the request in HTTP/1.1 format. Its timeout field tells the endpoint how long the sidecar waits for
+// the response.
 func (r *Request) encode(host string, timeoutMs float64) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\n", r.Method, r.Target)
@@ -40,15 +43,16 @@
 	return b.Bytes()
 }
 
-// Attempt is one attempt to carry out.
+// Attempt is one attempt to have a request served by an endpoint. Times are those of Options.Clock, in ms.
 type Attempt struct {
 	Endpoint    *Endpoint
 	Request     Request
-	Deadline    float64 // clock time at which the sidecar stops waiting
-	StartBefore float64 // clock time before which the first byte must leave
+	Deadline    float64 // time at which the sidecar stops waiting for the response
+	StartBefore float64 // time before which the first byte of the request must be sent; +Inf for no limit
 	claimed     atomic.Bool
 }
 
-// Claim decides once and for all between the first byte of an attempt and its being given up before that. The first to
-// claim wins: a request that is over is not sent, and one that was not sent is known not to have run.
+// Claim settles whether an attempt is sent or given up before its first byte is sent. The sender calls Claim before it
+// writes the request, and so does whoever gives the attempt up; only the first call returns true. If giving up comes
+// first, the request is never sent and therefore known not to have been executed.
 func (a *Attempt) Claim() bool { return a.claimed.CompareAndSwap(false, true) }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -11,58 +11,60 @@
 	"pebblelift/internal/headers"
 )
 
-// maxResponseSize bounds what is read of one response with its head, and however it is cut into chunks.
+// maxResponseSize is the limit in bytes on what is read of one response, including informational responses, header
+// fields, chunk framing and trailers.
 const maxResponseSize = 8 * MaxBodySize
 
-// Response is what came back for an attempt.
+// Response is the outcome of an attempt.
 type Response struct {
 	Result         balance.Result
-	Body           []byte
-	Header         http.Header
-	LoadReport     []float32
+	Body           []byte        // nil if Result is not OK
+	Header         http.Header   // nil if Result is not OK
+	LoadReport     []float32     // in the order of Options.ReportFields, NaN for a missing value; nil if there is none
 	Err            error         // why Result is not OK
-	ConnectionIdle time.Duration // how long its connection had been idle; 0: it was opened for the attempt
+	ConnectionIdle time.Duration // how long the connection had been idle before the attempt; 0 for a new connection
 }
 
-// failed returns the response of an attempt that was not served.
-func failed(result balance.Result, err error) Response { return Response{Result: result, Err: err} }
+// failure returns the outcome of an attempt that was not served.
+func failure(result balance.Result, err error) Response { return Response{Result: result, Err: err} }
 
-// readResponse reads one response and says whether the connection can be used again. Only a whole 200 is served, and
-// only the endpoint's word proves that nothing ran.
+// readResponse reads one response and reports whether the connection can be reused. The result is OK only for a
+// complete response with status 200, and Rejected only if the endpoint states that it did not execute the request.
 func readResponse(in *bufio.Reader, method string, reportFields []string) (r Response, reusable bool) {
 	resp, err := readFinalHead(in, method)
 	if err != nil {
-		return failed(balance.Reset, err), false
+		return failure(balance.Reset, err), false
 	}
 	knownLength := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodySize+1))
 	resp.Body.Close()
 	if err != nil {
-		return failed(balance.Reset, fmt.Errorf("%w: %w", ErrTruncated, err)), false
+		return failure(balance.Reset, fmt.Errorf("%w: %w", ErrInvalidResponse, err)), false
 	}
 	oversized := len(body) > MaxBodySize
 	switch {
 	case !knownLength:
-		r = failed(balance.Reset, ErrUnknownLength)
+		r = failure(balance.Reset, ErrUnknownLength)
 	case oversized:
-		r = failed(balance.ServerError, ErrOversized)
+		r = failure(balance.ServerError, ErrOversized)
 	case resp.StatusCode == http.StatusOK:
 		r = Response{Result: balance.OK, Body: body, Header: resp.Header}
 	case provesNotExecuted(resp):
-		r = failed(balance.Rejected, &StatusError{Status: resp.Status})
+		r = failure(balance.Rejected, &StatusError{Status: resp.Status})
 	default:
-		r = failed(balance.ServerError, &StatusError{Status: resp.Status})
+		r = failure(balance.ServerError, &StatusError{Status: resp.Status})
 	}
 	r.LoadReport = headers.ParseLoadReport(resp.Header.Get(headers.LoadReport), reportFields)
 	return r, knownLength && !resp.Close && !oversized
 }
 
-// readFinalHead skips informational responses.
+// readFinalHead reads the status line and header of a response. It skips informational (1xx) responses, except for
+// 101, which is final.
 func readFinalHead(in *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(in, &http.Request{Method: method})
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrTruncated, err)
+			return nil, fmt.Errorf("%w: %w", ErrInvalidResponse, err)
 		}
 		informational := resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols
 		if !informational {
@@ -71,17 +73,21 @@
 	}
 }
 
+// provesNotExecuted reports whether the endpoint states that it did not execute the request: the status is 503 or 504
+// and the header field headers.NotExecuted is "1".
 func provesNotExecuted(resp *http.Response) bool {
-	status := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
-	return status && resp.Header.Get(headers.NotExecuted) == "1"
+	isRejection := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	return isRejection && resp.Header.Get(headers.NotExecuted) == "1"
 }
 
-// limitedReader is a source that ends after some bytes, as there are endpoints whose responses never do.
+// limitedReader reads from source and returns ErrOversized once remaining bytes have been read, because some endpoints
+// send responses that never end.
 type limitedReader struct {
 	source    io.Reader
-	remaining int
+	remaining int // bytes
 }
 
+// Read reads from the source while the limit allows.
 func (l *limitedReader) Read(p []byte) (int, error) {
 	if l.remaining == 0 {
 		return 0, ErrOversized
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -12,8 +12,8 @@
 	"pebblelift/internal/nettest"
 )
 
-// An attempt is served only by a complete 200 response. Only a 503 or 504 that the endpoint marks as not executed proves
-// that the request did not run, which is what makes a retry of a non-idempotent request possible.
+// An attempt is served only by a complete response with status 200. Only a 503 or 504 that the endpoint marks as not
+// executed proves that a retry of a non-idempotent request is safe.
 func TestAttemptResults(t *testing.T) {
 	for name, test := range map[string]struct {
 		response string
@@ -81,7 +81,7 @@
 	}
 }
 
-// An endless response is abandoned, whichever part of it does not end, so that its memory is bounded.
+// A response that never ends must not fill the memory: the attempt fails, whichever part of the response is endless.
 func TestUnboundedResponses(t *testing.T) {
 	long := strings.Repeat("x", 1000)
 	longField := "X-More: " + long + "\r\n"
