--- a/internal/downstream/handler_test.go
+++ b/internal/downstream/handler_test.go
@@ -13,8 +13,8 @@
 	"pebblelift/internal/sidecar"
 )
 
-// The endpoint gets the method, target, forwarded header fields and body of a request unchanged. The client gets the
-// body and content type of the response, with its length.
+// The endpoint must get the method, target, forwarded header fields and body of a request unchanged. The client gets
+// the body and content type of the response, with its length.
 func TestResponseIsForwardedUnchanged(t *testing.T) {
 	const target = "/book/%41;x?sid=7f&b=%2F"
 	requests := make(chan *http.Request, 1)
@@ -58,7 +58,7 @@
 	}
 }
 
-// When a client disconnects, its attempts are canceled and its request is removed from the tables.
+// When a client disconnects, the attempts of its request are canceled and the request is removed from the tables.
 func TestClientCancel(t *testing.T) {
 	received := make(chan struct{}, 1)
 	stub := nettest.NewStubServer(t, func(net.Conn, *http.Request, string) bool {
@@ -77,8 +77,8 @@
 	})
 }
 
-// A rejected request is answered with 503 and tells the client when to retry, if that is known. A failed request, which
-// may have been executed, is answered with 502 and without Retry-After.
+// A rejected request is answered with 503 and tells the client when to retry, if that is known. A failed request,
+// which may have been executed, is answered with 502 and without Retry-After.
 func TestFinalResponses(t *testing.T) {
 	for _, test := range []struct {
 		name       string
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -20,7 +20,7 @@
 // minAcceptAfterShutdown is how long clients may open new connections after SIGTERM, with a margin.
 const minAcceptAfterShutdown = 500 * time.Millisecond
 
-// harness runs a whole sidecar.
+// harness runs a whole sidecar: its server and its event loop.
 type harness struct {
 	t      *testing.T
 	loop   *sidecar.Loop
@@ -34,6 +34,8 @@
 	serveResult chan error
 }
 
+// newHarness runs a sidecar with the given discovery address and cached catalog. Each configure function is called
+// with the server before it starts.
 func newHarness(t *testing.T, discovery, cachedCatalog string, configure ...func(*Server)) *harness {
 	t.Helper()
 	cfg, err := config.Parse(nettest.ConfigJSON(discovery, cachedCatalog, nettest.Settings))
@@ -171,7 +173,7 @@
 	release  chan struct{} // one for each request to answer, or closed for all
 }
 
-// newHoldingStub holds the requests of a trace ID, or all if none is given.
+// newHoldingStub returns a stub that holds the requests with the given trace ID, or all requests if traceID is empty.
 func newHoldingStub(t *testing.T, traceID string) *holdingStub {
 	t.Helper()
 	s := &holdingStub{received: make(chan struct{}, maxHeldRequests), release: make(chan struct{})}
--- a/internal/downstream/head_recorder.go
+++ b/internal/downstream/head_recorder.go
@@ -11,36 +11,41 @@
 	"time"
 )
 
-// maxHeadSize bounds the head of a request.
+// maxHeadSize is the largest size in bytes of the head of a request: its request line and header fields.
 const maxHeadSize = 32 << 10
 
-// headRecorder is a connection that keeps the head of the present request as it came. net/http follows
-// Transfer-Encoding where Content-Length stands beside it and hides the latter, though the two may disagree where the
-// request ends: what one side takes for its body is the next request to the other.
+// headRecorder is a client connection that records the head of the current request as it was received. The raw head
+// is needed to detect request smuggling: if a request has both Transfer-Encoding and Content-Length, net/http follows
+// the former and hides the latter, although the two may disagree about where the request ends. What one side takes
+// for the body of the request is then the next request to the other side.
 //
-// It also reads ahead while a handler runs, see read_ahead.go, and ends when it is idle and the listener drains.
+// A headRecorder also reads ahead while a handler runs (see read_ahead.go), and ends its connection when it is idle
+// and the listener drains.
 type headRecorder struct {
 	net.Conn
-	drainMode *atomic.Int32 // the listener's
-
-	readAheadBudget *atomic.Int64 // the listener's
-	readAheadUsed   atomic.Int64  // its part of that
-	readAhead       []byte        // only the server's reads use it, one at a time
-
-	mu             sync.Mutex // the server reads in the background while a handler runs
-	head           []byte
-	headComplete   bool
-	handling       bool      // a handler runs
+	drainMode *atomic.Int32 // the drain mode of the listener
+
+	readAheadBudget *atomic.Int64 // the read-ahead budget of the listener, in bytes
+	readAheadUsed   atomic.Int64  // bytes of the budget that this connection uses
+	// readAhead holds what was received but not yet returned by Read. It needs no lock, as the server calls Read from
+	// one goroutine at a time.
+	readAhead []byte
+
+	// mu guards the following fields, because net/http reads in the background while a handler runs.
+	mu             sync.Mutex
+	head           []byte    // what was read of the head of the current request
+	headComplete   bool      // head ends with the empty line
+	handling       bool      // a handler runs or is about to run
 	idle           bool      // no byte of the next request was read
-	reused         bool      // there was a request before
-	serverDeadline time.Time // the read deadline that the server set
+	reused         bool      // a request ended on this connection before
+	serverDeadline time.Time // the read deadline that net/http has set
 }
 
-// pastDeadline is a read deadline that ends a read of an idle connection. Unlike a close, it does not discard bytes that
-// have arrived.
+// pastDeadline is a read deadline in the past, which ends the read of an idle connection. Unlike a close, the deadline
+// does not discard bytes that have already arrived.
 var pastDeadline = time.Unix(1, 0)
 
-// drain ends the connection if it is idle and the listener's drain mode covers it.
+// drain ends the connection if it is idle and the listener's drain mode applies to it.
 func (r *headRecorder) drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,13 +54,14 @@
 	}
 }
 
-// shouldDrain is called with mu held.
+// shouldDrain reports whether the connection is idle and the listener's drain mode applies to it. The caller holds mu.
 func (r *headRecorder) shouldDrain() bool {
 	mode := drainMode(r.drainMode.Load())
 	return r.idle && (mode == drainAll || mode == drainReused && r.reused)
 }
 
-// SetReadDeadline leaves a deadline that ends the connection in place: the server sets its own as it begins to wait.
+// SetReadDeadline sets the read deadline, except that a connection that drains keeps pastDeadline: net/http sets a
+// deadline each time it begins to wait for a request, which would otherwise replace pastDeadline.
 func (r *headRecorder) SetReadDeadline(t time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +72,7 @@
 	return r.Conn.SetReadDeadline(t)
 }
 
-// Read reads and records the head of the present request.
+// Read reads from the connection and records the head of the current request.
 func (r *headRecorder) Read(p []byte) (int, error) {
 	n, err := r.readOrReadAhead(p)
 	r.mu.Lock()
@@ -78,19 +84,19 @@
 	return n, err
 }
 
-// record is called with mu held.
+// record appends what was read to the head until the head is complete or too long. The caller holds mu.
 func (r *headRecorder) record(p []byte) {
 	if r.headComplete || len(r.head) > maxHeadSize {
 		return
 	}
-	from := max(0, len(r.head)-len("\n\r\n")) // its end may come in parts
+	from := max(0, len(r.head)-len("\n\r\n")) // the end of the head may arrive in parts
 	r.head = append(r.head, p...)
 	if i := headEnd(r.head[from:]); i >= 0 {
 		r.head, r.headComplete = r.head[:from+i], true
 	}
 }
 
-// headEnd is the place just behind the empty line that ends a head; -1: there is none.
+// headEnd returns the index after the empty line that ends a head, or -1 if there is no such line.
 func headEnd(raw []byte) int {
 	for i, b := range raw {
 		rest := raw[i+1:]
@@ -101,16 +107,17 @@
 	return -1
 }
 
-// hasRequest reports whether a handler runs or is about to run: the head was seen, or all of it arrived with the request
-// before.
-func (r *headRecorder) hasRequest() bool {
+// handlerActive reports whether a handler runs or is about to run. It is to be called in a read of a single byte. At
+// that time an empty head means that the whole head arrived together with the previous request.
+func (r *headRecorder) handlerActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.headComplete || r.handling || len(r.head) == 0
 }
 
-// beginHandling marks the present request as handed to a handler, or about to be. If it arrived together with the one
-// before, the connection may have counted as idle when the listener began to drain; its deadline is taken back then.
+// beginHandling records that a handler runs or is about to run for the current request. If the request arrived
+// together with the previous one, the connection may have counted as idle when the listener began to drain. In that
+// case the deadline that net/http has set is restored.
 func (r *headRecorder) beginHandling() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +127,8 @@
 	r.handling, r.idle = true, false
 }
 
-// finishRequest forgets the head of a request that is over.
+// finishRequest prepares for the next request: it clears the head and marks the connection as idle unless a part of
+// the next request was already read ahead.
 func (r *headRecorder) finishRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,14 +138,15 @@
 	r.reused = true
 }
 
-// fieldNames returns the names of the header fields of the present request, in lower case; ok: its head was seen.
+// fieldNames returns the names of the header fields of the current request in lower case. ok is false if the recorded
+// head is not that of the request.
 func (r *headRecorder) fieldNames(req *http.Request) (names map[string]bool, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	line, rest, _ := strings.Cut(string(r.head), "\n")
 	line = strings.TrimSuffix(line, "\r")
 	requestLine := req.Method + " " + req.RequestURI + " " + req.Proto
-	// The first byte may have been read while the request before was being answered.
+	// The first byte is missing from the head if it was read while the previous request was being answered.
 	if !r.headComplete || !strings.HasSuffix(requestLine, line) || len(line) < len(requestLine)-1 {
 		return nil, false
 	}
@@ -149,21 +158,23 @@
 	return names, true
 }
 
-// hasAmbiguousLength reports whether the two ends could disagree where a request ends. A chunked one must come with its
-// head seen, as clients do not send a request before the one ahead of it is answered; HTTP/1.0 knows no chunks.
+// hasAmbiguousLength reports whether the client and the sidecar could disagree about where a request ends. A chunked
+// request also counts as ambiguous if its head was not recorded, which happens if it was sent before the previous
+// request was answered; clients do not normally do so. HTTP/1.0 has no chunked encoding.
 func hasAmbiguousLength(req *http.Request) bool {
 	recorder := headRecorderOf(req)
-	chunked, old := len(req.TransferEncoding) > 0, !req.ProtoAtLeast(1, 1)
-	if recorder == nil || !chunked && !old {
+	chunked, http10 := len(req.TransferEncoding) > 0, !req.ProtoAtLeast(1, 1)
+	if recorder == nil || !chunked && !http10 {
 		return false
 	}
-	names, seen := recorder.fieldNames(req)
-	return chunked && (!seen || names["content-length"]) || old && names["transfer-encoding"]
+	names, recorded := recorder.fieldNames(req)
+	return chunked && (!recorded || names["content-length"]) || http10 && names["transfer-encoding"]
 }
 
+// headRecorderKey is the context key of a connection's headRecorder.
 type headRecorderKey struct{}
 
-// withHeadRecorder ties a connection's recorder to the requests on it.
+// withHeadRecorder adds a connection's headRecorder to the context of the requests on it (http.Server.ConnContext).
 func withHeadRecorder(ctx context.Context, c net.Conn) context.Context {
 	if t, ok := c.(*trackedConn); ok {
 		return context.WithValue(ctx, headRecorderKey{}, &t.headRecorder)
@@ -171,12 +182,13 @@
 	return ctx
 }
 
-// headRecorderOf returns nil for a request on another kind of connection.
+// headRecorderOf returns the headRecorder of the connection of a request, or nil if the connection has none.
 func headRecorderOf(req *http.Request) *headRecorder {
 	recorder, _ := req.Context().Value(headRecorderKey{}).(*headRecorder)
 	return recorder
 }
 
+// finishRequestWhenIdle tells a connection's headRecorder that its request has ended (http.Server.ConnState).
 func finishRequestWhenIdle(c net.Conn, state http.ConnState) {
 	if t, ok := c.(*trackedConn); ok && state == http.StateIdle {
 		t.finishRequest()
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -13,52 +13,58 @@
 )
 
 const (
-	rejectionTimeout  = 500 * time.Millisecond
+	// rejectionTimeout limits the write of a rejectionResponse, and separately the wait for the client to close its
+	// connection after that.
+	rejectionTimeout = 500 * time.Millisecond
+	// rejectionResponse is the HTTP response on a connection that exceeds the connection limit.
 	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// drainMode says which connections without a request are to end.
+// drainMode says which idle connections of a listener are to be ended.
 type drainMode int32
 
 const (
-	drainNone   drainMode = iota
-	drainReused           // those that have had a request: clients come again on new ones
-	drainAll
+	drainNone   drainMode = iota // ends no connection
+	drainReused                  // ends idle connections that have served a request; their clients reconnect
+	drainAll                     // ends all idle connections
 )
 
-// limitedListener bounds the open connections of a listener, as descriptors are needed elsewhere. Connections beyond the
-// bound are answered with 503 and closed.
+// limitedListener limits the number of open connections of a listener, because file descriptors are needed elsewhere
+// too. Connections beyond the limit are answered with 503 and closed.
 type limitedListener struct {
 	net.Listener
-	slots           chan struct{} // one for each open connection
-	rejections      chan struct{} // one for each connection that is being rejected
-	accepted        atomic.Int64  // since the start
-	rejected        atomic.Int64  // since the start
-	drainMode       atomic.Int32
-	readAheadBudget atomic.Int64  // bytes that may yet be read ahead, on all connections
-	drained         chan struct{} // closed when all connections have ended, after drainAll
+	slots           chan struct{} // holds one value for each open connection
+	rejectionSlots  chan struct{} // holds one value for each rejection in the background
+	accepted        atomic.Int64  // connections accepted since the start, without the rejected ones
+	rejected        atomic.Int64  // connections rejected since the start
+	drainMode       atomic.Int32  // the current drainMode
+	readAheadBudget atomic.Int64  // bytes that may still be read ahead on all connections together
+	drained         chan struct{} // closed when drainMode is drainAll and all connections are closed
 
 	mu   sync.Mutex
 	open map[*trackedConn]struct{}
 }
 
+// newLimitedListener returns a listener that accepts connections of ln, of which at most maxConnections may be open
+// at a time. Read-ahead on all connections together is limited to readAheadBytes.
 func newLimitedListener(ln net.Listener, maxConnections int, readAheadBytes int64) *limitedListener {
 	l := &limitedListener{
-		Listener:   ln,
-		slots:      make(chan struct{}, maxConnections),
-		rejections: make(chan struct{}, config.MaxConcurrentRejections),
-		drained:    make(chan struct{}),
-		open:       map[*trackedConn]struct{}{},
+		Listener:       ln,
+		slots:          make(chan struct{}, maxConnections),
+		rejectionSlots: make(chan struct{}, config.MaxConcurrentRejections),
+		drained:        make(chan struct{}),
+		open:           map[*trackedConn]struct{}{},
 	}
 	l.readAheadBudget.Store(readAheadBytes)
 	return l
 }
 
+// stats returns the current counts of clients' connections.
 func (l *limitedListener) stats() sidecar.ConnectionStats {
 	return sidecar.ConnectionStats{Open: len(l.slots), Accepted: l.accepted.Load(), Rejected: l.rejected.Load()}
 }
 
-// Accept returns the next connection that has a place.
+// Accept returns the next connection for which there is a slot. It rejects connections for which there is none.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -76,6 +82,7 @@
 	}
 }
 
+// track adds a connection to the open connections.
 func (l *limitedListener) track(c net.Conn) *trackedConn {
 	t := &trackedConn{listener: l}
 	t.headRecorder = headRecorder{
@@ -87,26 +94,26 @@
 	return t
 }
 
-// reject rejects a connection in the background. If too many are being rejected already, it does not wait for the
-// client to read the response, which may then be lost to a reset.
+// reject rejects a connection in the background. If too many connections are already being rejected, it does not wait
+// for the client to read the response, which a reset may then discard.
 func (l *limitedListener) reject(c net.Conn) {
 	select {
-	case l.rejections <- struct{}{}:
+	case l.rejectionSlots <- struct{}{}:
 		go func() {
 			rejectConnection(c, rejectionTimeout)
-			<-l.rejections
+			<-l.rejectionSlots
 		}()
 	default:
 		rejectConnection(c, 0)
 	}
 }
 
-// rejectConnection answers 503 and keeps reading for a while: closing with unread bytes would reset the connection
-// before the client has the response.
-func rejectConnection(c net.Conn, reading time.Duration) {
+// rejectConnection responds with 503, then reads until the client closes the connection or the given time has passed.
+// Closing a connection with unread bytes would reset it before the client has read the response.
+func rejectConnection(c net.Conn, linger time.Duration) {
 	defer c.Close()
-	c.SetWriteDeadline(time.Now().Add(rejectionTimeout)) // never reached: the first bytes on a connection are buffered
-	c.SetReadDeadline(time.Now().Add(reading))
+	c.SetWriteDeadline(time.Now().Add(rejectionTimeout)) // not reached: the kernel buffers so few bytes
+	c.SetReadDeadline(time.Now().Add(linger))
 	io.WriteString(c, rejectionResponse)
 	if t, ok := c.(*net.TCPConn); ok {
 		t.CloseWrite()
@@ -114,7 +121,8 @@
 	io.Copy(io.Discard, c)
 }
 
-// drain ends the idle connections that the mode covers. Before drainAll, the listener must be closed.
+// drain sets the drain mode and ends the idle connections to which it applies. The listener must be closed before
+// drain is called with drainAll.
 func (l *limitedListener) drain(mode drainMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +133,7 @@
 	l.closeIfDrained()
 }
 
-// release gives a connection's place back.
+// release removes a closed connection from the open connections and frees its slot. Further calls have no effect.
 func (l *limitedListener) release(t *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,20 +145,21 @@
 	l.closeIfDrained()
 }
 
-// closeIfDrained closes drained once. The caller holds mu.
+// closeIfDrained closes l.drained if the drain mode is drainAll and no connection is open. This happens only once, as
+// the listener is closed by then. The caller holds mu.
 func (l *limitedListener) closeIfDrained() {
 	if drainMode(l.drainMode.Load()) == drainAll && len(l.open) == 0 {
 		close(l.drained)
 	}
 }
 
-// trackedConn is a connection that holds a place.
+// trackedConn is a connection that holds a slot of its listener.
 type trackedConn struct {
 	headRecorder
 	listener *limitedListener
 }
 
-// Close closes the connection and gives back its place and its part of the read-ahead budget.
+// Close closes the connection and releases its slot and its part of the read-ahead budget.
 func (t *trackedConn) Close() error {
 	defer t.listener.release(t)
 	defer t.releaseReadAhead(math.MaxInt64)
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -10,8 +10,8 @@
 	"pebblelift/internal/nettest"
 )
 
-// At the limit on connections a further one is answered with 503 at once. When a connection closes, its slot is free
-// again.
+// At the connection limit a further connection is answered with 503 at once. When a connection closes, its slot is
+// free again.
 func TestExcessConnectionsAreRejected(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,15 +37,15 @@
 	}
 }
 
-// While many connections are being rejected, a further one is still rejected at once.
+// Clients that are slow to close their rejected connections must not delay the rejection of further connections.
 func TestManyExcessConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln := newLimitedListener(inner, 0, config.DefaultReadAhead)
-	for range cap(ln.rejections) { // as if the clients of all rejections were slow to close
-		ln.rejections <- struct{}{}
+	for range cap(ln.rejectionSlots) { // simulates clients that are slow to close their connections
+		ln.rejectionSlots <- struct{}{}
 	}
 	go ln.Accept()
 	defer inner.Close()
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -8,20 +8,24 @@
 )
 
 const (
-	// maxReadAhead bounds what is read of further requests on one connection while a request is being answered.
-	// Clients send one request at a time, and the largest is smaller. Behind more data than this a disconnect could
-	// not be noticed, so a client that sends more counts as disconnected.
-	maxReadAhead        = 2 * upstream.MaxBodySize
+	// maxReadAhead is how many bytes of further requests are read on one connection while a request is being
+	// answered. Clients send one request at a time, and the largest request is smaller than this. A client that sends
+	// more counts as disconnected, because its disconnect could not be noticed behind unread data.
+	maxReadAhead = 2 * upstream.MaxBodySize
+	// readAheadBufferSize is the size in bytes of the buffer for reading ahead once a client has sent anything ahead.
 	readAheadBufferSize = 4 << 10
 )
 
-var errTooMuchReadAhead = errors.New("too much read ahead of a response")
+// errTooMuchReadAhead means that a client exceeded maxReadAhead, or all clients together the read-ahead budget.
+var errTooMuchReadAhead = errors.New("client sent too much data before the response to its request")
 
-// readOrReadAhead returns what was read ahead first. While a handler runs, net/http detects a disconnect by reading one
-// byte, and stops doing so once it has a byte of a further request. So it gets none: what arrives is read ahead until
-// the handler is done, when net/http sets a deadline, or the client has disconnected.
+// readOrReadAhead reads from the connection, after it has returned what was read ahead.
+//
+// While a handler runs, net/http detects a disconnect of the client by reading one byte, and stops doing so once it
+// has received a byte of a further request. Therefore such a read returns no data: what arrives is read ahead until
+// the client disconnects or the handler is done, upon which net/http sets a read deadline.
 func (r *headRecorder) readOrReadAhead(p []byte) (int, error) {
-	if len(p) > 1 || !r.hasRequest() {
+	if len(p) > 1 || !r.handlerActive() {
 		if n := r.consumeReadAhead(p); n > 0 {
 			return n, nil
 		}
@@ -31,8 +35,8 @@
 	return 0, r.fillReadAhead(p)
 }
 
-// fillReadAhead reads ahead until a read fails. The first buffer may hold a single byte, as most clients send nothing
-// ahead.
+// fillReadAhead reads ahead until a read fails or too much was read. The buffer of the caller holds a single byte; a
+// larger buffer is allocated only once a byte has arrived, because most clients send nothing ahead.
 func (r *headRecorder) fillReadAhead(buf []byte) error {
 	for {
 		n, err := r.Conn.Read(buf)
@@ -53,30 +57,31 @@
 	}
 }
 
-// consumeReadAhead takes some of what was read ahead.
+// consumeReadAhead moves data that was read ahead to p and returns its length.
 func (r *headRecorder) consumeReadAhead(p []byte) int {
 	n := copy(p, r.readAhead)
 	r.releaseReadAhead(int64(n))
 	r.readAhead = r.readAhead[n:]
 	if len(r.readAhead) == 0 {
-		r.readAhead = nil // its memory is free again
+		r.readAhead = nil // releases the memory
 	}
 	return n
 }
 
-// dropReadAhead forgets what was read ahead.
+// dropReadAhead discards what was read ahead.
 func (r *headRecorder) dropReadAhead() {
 	r.releaseReadAhead(int64(len(r.readAhead)))
 	r.readAhead = nil
 }
 
+// reserveReadAhead takes n bytes from the read-ahead budget.
 func (r *headRecorder) reserveReadAhead(n int64) {
 	r.readAheadUsed.Add(n)
 	r.readAheadBudget.Add(-n)
 }
 
-// releaseReadAhead gives back up to n bytes of the budget. The connection may be closed, which
-// gives all of them back, during a read.
+// releaseReadAhead returns n bytes to the read-ahead budget, but no more than the connection still uses: Close may
+// release all of its bytes during a read.
 func (r *headRecorder) releaseReadAhead(n int64) {
 	for {
 		used := r.readAheadUsed.Load()
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -14,7 +14,8 @@
 	"pebblelift/internal/upstream"
 )
 
-// A client's disconnect is noticed even if it sent bytes of a further request before.
+// A client's disconnect is noticed even if the client has sent bytes of a further request before. net/http alone stops
+// watching for a disconnect once it has received such a byte.
 func TestClientCancelAfterPipelinedRequest(t *testing.T) {
 	for name, further := range map[string]string{
 		"one byte":        "G",
@@ -41,14 +42,15 @@
 	}
 }
 
-// A client's disconnect is noticed behind many pipelined requests, even if some were answered before, and the memory of
-// what was read ahead is released. A client that keeps sending without waiting for responses counts as disconnected.
+// A client's disconnect is noticed behind many pipelined requests, even if some were answered before, and the memory
+// of what was read ahead is released. A client that keeps sending without waiting for responses counts as
+// disconnected.
 func TestClientCancelBehindManyPipelinedRequests(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		responses int // before the disconnect
-		pipelined int // bytes of further requests
-		stays     bool
+		name           string
+		responses      int  // before the disconnect
+		pipelined      int  // bytes of further requests
+		staysConnected bool // the client keeps its connection open
 	}{
 		{"many requests, no responses", 0, 100 << 10, false},
 		{"many requests, some responses", 3, 100 << 10, false},
@@ -79,17 +81,17 @@
 				io.WriteString(c, pipelined.String())
 				close(written)
 			}()
-			if !test.stays {
+			if !test.staysConnected {
 				nettest.Receive(t, written)
 			}
 			close(release)
 			for range test.responses {
 				nettest.Receive(t, received) // the next request is in flight
-				if !test.stays {
+				if !test.staysConnected {
 					h.readResponse(reader)
 				}
 			}
-			if !test.stays {
+			if !test.staysConnected {
 				c.Close()
 			}
 			nettest.Eventually(t, "the disconnect is noticed", func() bool {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -17,10 +17,11 @@
 	"pebblelift/internal/upstream"
 )
 
-// affinityParameter is the query parameter that names the object of a request.
+// affinityParameter is the query parameter that names the object of a request. Requests for the same object get the
+// same affinity key.
 const affinityParameter = "sid"
 
-// RequestError says what is wrong with a request, and the status that its client gets.
+// RequestError describes an invalid request and the status code of the response to it.
 type RequestError struct {
 	Status int
 	Err    error
@@ -28,17 +29,20 @@
 
 func (e *RequestError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong with the request.
+// Unwrap returns the reason why the request is invalid.
 func (e *RequestError) Unwrap() error { return e.Err }
 
+// badRequest returns a RequestError with status 400.
 func badRequest(err error) *RequestError {
 	return &RequestError{Status: http.StatusBadRequest, Err: err}
 }
 
+// tooLarge returns a RequestError with status 413.
 func tooLarge(err error) *RequestError {
 	return &RequestError{Status: http.StatusRequestEntityTooLarge, Err: err}
 }
 
+// The reasons why a request is invalid, which clients read in the response.
 var (
 	errNoTraceID   = errors.New("no X-Trace-Id")
 	errWrongPath   = errors.New("the path does not fit the class")
@@ -47,51 +51,52 @@
 	errLargeBody   = errors.New("body over 64 KiB")
 )
 
-// singleFields must not be repeated in a request: endpoints and the sidecar might use different values.
+// singleFields are the header fields that must not be repeated in a request, because the sidecar and the endpoints
+// might use different values of a repeated field.
 var singleFields = []string{
 	headers.TraceID, headers.Class, headers.Tenant, headers.Timeout, headers.IdempotencyKey,
 }
 
-// forwardedFields are passed on to endpoints unchanged.
+// forwardedFields are the header fields that are forwarded to endpoints unchanged.
 var forwardedFields = []string{
 	headers.TraceID, headers.IdempotencyKey, headers.Class, headers.Tenant, "Content-Type",
 }
 
-// parseRequest reads a request and its body.
+// parseRequest validates a request and reads its header and body. It does not set sidecar.Request.ArrivedAt.
 func (s *Server) parseRequest(w http.ResponseWriter, req *http.Request) (sidecar.Request, *RequestError) {
-	var in sidecar.Request
+	var parsed sidecar.Request
 	class, known := s.classes[req.Header.Get(headers.Class)]
 	if !known {
-		return in, badRequest(fmt.Errorf("unknown class %q", req.Header.Get(headers.Class)))
+		return parsed, badRequest(fmt.Errorf("unknown class %q", req.Header.Get(headers.Class)))
 	}
 	for _, name := range singleFields {
 		if len(req.Header[http.CanonicalHeaderKey(name)]) > 1 {
-			return in, badRequest(fmt.Errorf("%s more than once", name))
+			return parsed, badRequest(fmt.Errorf("%s more than once", name))
 		}
 	}
-	in.Class = class
-	in.TraceID = req.Header.Get(headers.TraceID)
-	in.Forwarded.Method, in.Forwarded.Target = req.Method, req.RequestURI
-	if err := s.checkFitsClass(req, class); err != nil {
-		return in, badRequest(err)
+	parsed.Class = class
+	parsed.TraceID = req.Header.Get(headers.TraceID)
+	parsed.Forwarded.Method, parsed.Forwarded.Target = req.Method, req.RequestURI
+	if err := s.validateForClass(req, class); err != nil {
+		return parsed, badRequest(err)
 	}
-	if err := s.parseFields(req, &in); err != nil {
-		return in, badRequest(err)
+	if err := s.parseFields(req, &parsed); err != nil {
+		return parsed, badRequest(err)
 	}
-	if err := readBody(w, req, &in); err != nil {
-		return in, err
+	if err := readBody(w, req, &parsed); err != nil {
+		return parsed, err
 	}
 	for _, name := range forwardedFields {
 		if value := req.Header.Get(name); value != "" {
-			in.Forwarded.Header = append(in.Forwarded.Header, upstream.HeaderField{Name: name, Value: value})
+			parsed.Forwarded.Header = append(parsed.Forwarded.Header, upstream.HeaderField{Name: name, Value: value})
 		}
 	}
-	return in, nil
+	return parsed, nil
 }
 
-// checkFitsClass compares the method, path and key of a request with its class. A keyed request without its key could
-// not be retried.
-func (s *Server) checkFitsClass(req *http.Request, class int) error {
+// validateForClass checks that a request has a trace ID and that its path, method and idempotency key are those of its
+// class. A request of a class with idempotency keys could not be retried without its key.
+func (s *Server) validateForClass(req *http.Request, class int) error {
 	idempotency := s.loop.Config().Settings.Balancer.Classes[class].Idempotency
 	hasKey := req.Header.Get(headers.IdempotencyKey) != ""
 	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
@@ -106,30 +111,32 @@
 		return errWrongPath
 	case req.Method != method, (idempotency == balance.IdempotentWithKey) != hasKey:
 		return errWrongMethod
-	case req.Method == http.MethodGet && req.ContentLength != 0: // an endpoint may take its body for the next request
+	case req.Method == http.MethodGet && req.ContentLength != 0: // an endpoint may take the body for the next request
 		return errGetWithBody
 	}
 	return nil
 }
 
-// parseFields reads the request's header fields and query. Every client says how long it waits: a guess
-// in its place would be the longest wait there is, against which the balancer holds all later retries.
-func (s *Server) parseFields(req *http.Request, in *sidecar.Request) (err error) {
-	if in.Timeout, err = headers.ParseTimeout(req.Header.Get(headers.Timeout)); err != nil {
+// parseFields reads the timeout, tenant, retry mark, work hint and affinity key of a request. A timeout is required:
+// if one had to be assumed, it would be the longest that is possible, and the balancer would compare the timeouts of
+// all later retries with it.
+func (s *Server) parseFields(req *http.Request, parsed *sidecar.Request) (err error) {
+	if parsed.Timeout, err = headers.ParseTimeout(req.Header.Get(headers.Timeout)); err != nil {
 		return err
 	}
-	in.Tenant = slices.Index(s.loop.Config().Settings.Tenants, req.Header.Get(headers.Tenant)) // -1: none
-	in.IsRetry = req.Header.Get(headers.Retry) == "1"
-	if us, err := strconv.ParseFloat(req.Header.Get(headers.WorkHint), 64); err == nil && us > 0 {
-		in.WorkHint = us / 1000
+	parsed.Tenant = slices.Index(s.loop.Config().Settings.Tenants, req.Header.Get(headers.Tenant)) // -1: none
+	parsed.IsRetry = req.Header.Get(headers.Retry) == "1"
+	if micros, err := strconv.ParseFloat(req.Header.Get(headers.WorkHint), 64); err == nil && micros > 0 {
+		parsed.WorkHint = micros / 1000
 	}
 	if object := req.URL.Query().Get(affinityParameter); object != "" {
-		in.AffinityKey = stablehash.String(object)
+		parsed.AffinityKey = stablehash.String(object)
 	}
 	return nil
 }
 
-func readBody(w http.ResponseWriter, req *http.Request, in *sidecar.Request) *RequestError {
+// readBody reads the body of a request, which is limited to upstream.MaxBodySize bytes.
+func readBody(w http.ResponseWriter, req *http.Request, parsed *sidecar.Request) *RequestError {
 	if req.ContentLength > upstream.MaxBodySize {
 		return tooLarge(errLargeBody)
 	}
@@ -137,14 +144,14 @@
 		return nil
 	}
 	var err error
-	in.Forwarded.Body, err = io.ReadAll(http.MaxBytesReader(w, req.Body, upstream.MaxBodySize))
-	var large *http.MaxBytesError
+	parsed.Forwarded.Body, err = io.ReadAll(http.MaxBytesReader(w, req.Body, upstream.MaxBodySize))
+	var sizeError *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &sizeError):
 		return tooLarge(err)
 	case err != nil:
 		return badRequest(err)
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Time{}) // else it would look like a disconnect
+	http.NewResponseController(w).SetReadDeadline(time.Time{}) // an expired deadline would look like a disconnect
 	return nil
 }
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// The timeout for reading a body does not apply to the response: a request may take longer.
+// The timeout for reading a body must not apply to the response, which may take longer.
 func TestSlowResponseAfterPromptBody(t *testing.T) {
 	release := make(chan struct{})
 	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,6 +1,6 @@
-// Package downstream is the application's side of a sidecar: an HTTP server that bounds its connections, guards against
-// request smuggling, hands requests to the event loop and shuts down gracefully. It decides nothing about requests that
-// are well formed.
+// Package downstream is the HTTP server to which the application sends its requests. It limits the number of
+// connections, validates requests, rejects attempts at request smuggling and shuts down gracefully. Valid requests go
+// to the event loop of package sidecar, which decides everything else about them.
 package downstream
 
 import (
@@ -17,34 +17,46 @@
 )
 
 const (
-	// acceptAfterShutdown is how long connections are accepted after SIGTERM: new ones come for up to 0.4 s.
+	// acceptAfterShutdown is how long new connections are accepted after SIGTERM. Clients open new connections for up
+	// to 0.4 s after SIGTERM.
 	acceptAfterShutdown = 600 * time.Millisecond
-	// SIGKILL comes no sooner than the longest deadline, counted as maxCountedDeadline where it is longer, plus 0.7 s.
-	// The process ends a little earlier, and what it has accepted is answered shutdownMargin earlier still.
-	maxCountedDeadline = 3 * time.Second
-	shutdownMargin     = 100 * time.Millisecond
-	// Anyone may connect, and an unused connection takes a place from a client. A connection without a request may be
-	// closed after 2 s, and one with no request or only a part of one must be answered or closed within 3 s.
+	// maxDrainTimeout is the upper limit of the drain timeout, which is otherwise the longest deadline of any class.
+	// The drain timeout is how long requests may still run after the listener is closed. SIGKILL comes no earlier than
+	// 0.7 s plus the drain timeout after SIGTERM; the process ends a little earlier.
+	maxDrainTimeout = 3 * time.Second
+	// shutdownMargin is how long before the end of the drain timeout all accepted requests are answered.
+	shutdownMargin = 100 * time.Millisecond
+
+	// The following timeouts exist because anyone may connect, and an unused connection occupies a slot that a client
+	// may need. A connection without a request may be closed after 2 s. A connection with no request or only a part of
+	// one must be answered or closed within 3 s.
+
+	// headerTimeout limits the time to read the head of a request. Together with bodyTimeout it must be below 3 s.
 	headerTimeout = 2200 * time.Millisecond
-	bodyTimeout   = 600 * time.Millisecond
-	idleTimeout   = 2500 * time.Millisecond
-	writeTimeout  = 10 * time.Second // beyond the longest deadline
+	// bodyTimeout limits the time to read the body of a request, after its head was read.
+	bodyTimeout = 600 * time.Millisecond
+	// idleTimeout is how long a connection may wait for its next request before it is closed. It must be at least 2 s
+	// and below 3 s.
+	idleTimeout = 2500 * time.Millisecond
+	// writeTimeout limits the time to serve a request and write its response, in addition to the longest deadline of
+	// any class.
+	writeTimeout = 10 * time.Second
 )
 
-// Server serves clients' requests by an event loop.
+// Server is an HTTP server that has the requests of clients served by an event loop.
 type Server struct {
 	loop            *sidecar.Loop
-	classes         map[string]int // positions in the settings by name
-	http            *http.Server
-	longestDeadline time.Duration
-	drainTimeout    time.Duration // what there is of it after SIGTERM
-	bodyTimeout     time.Duration
+	classes         map[string]int // positions of the classes in the settings, by name
+	httpServer      *http.Server
+	longestDeadline time.Duration // of all classes
+	drainTimeout    time.Duration // how long requests may still run after the listener is closed
+	bodyTimeout     time.Duration // limit on the time to read a request's body
 	draining        atomic.Bool
-	listener        atomic.Pointer[limitedListener]      // nil: Serve has not begun
-	after           func(time.Duration) <-chan time.Time // time.After
+	listener        atomic.Pointer[limitedListener]      // nil before Serve is called
+	after           func(time.Duration) <-chan time.Time // time.After; replaced by tests
 }
 
-// NewServer returns a server; Serve runs it.
+// NewServer returns a server that hands requests to loop and logs connection errors to log.
 func NewServer(loop *sidecar.Loop, log *slog.Logger) *Server {
 	s := &Server{loop: loop, classes: map[string]int{}, after: time.After, bodyTimeout: bodyTimeout}
 	settings := &loop.Config().Settings
@@ -52,8 +64,8 @@
 		s.classes[name] = i
 		s.longestDeadline = max(s.longestDeadline, clock.Duration(settings.Balancer.Classes[i].Deadline))
 	}
-	s.drainTimeout = min(s.longestDeadline, maxCountedDeadline)
-	s.http = &http.Server{
+	s.drainTimeout = min(s.longestDeadline, maxDrainTimeout)
+	s.httpServer = &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
@@ -66,39 +78,40 @@
 	return s
 }
 
-// Serve serves until stop ends, then drains, and returns when all that was accepted is answered.
+// Serve accepts connections of ln and serves their requests until stop ends. It then shuts down gracefully and returns
+// when all accepted requests are answered, or after the drain timeout.
 func (s *Server) Serve(stop context.Context, ln net.Listener) error {
 	limits := s.loop.Config().Limits
 	listener := newLimitedListener(ln, limits.DownstreamConnections(), limits.ReadAheadBytes())
 	s.listener.Store(listener)
 	s.loop.SetConnectionStats(listener.stats)
-	failed := make(chan error, 1)
-	go func() { failed <- s.http.Serve(listener) }()
+	serveError := make(chan error, 1)
+	go func() { serveError <- s.httpServer.Serve(listener) }()
 	select {
-	case err := <-failed:
+	case err := <-serveError:
 		return fmt.Errorf("serve: %w", err)
 	case <-stop.Done():
 	}
-	return s.drain(listener, failed)
+	return s.drain(listener, serveError)
 }
 
-// drain closes idle connections while the listener still accepts, so that clients come again on new ones, then the
-// listener, then the connections as their requests end. It does not use http.Server.Shutdown, which drops a request of
-// which the last byte arrives afterwards.
-func (s *Server) drain(listener *limitedListener, failed <-chan error) error {
+// drain shuts the server down gracefully. First it closes idle connections while the listener still accepts new ones,
+// so that clients reconnect. Then it closes the listener, and finally the remaining connections as their requests
+// end. It does not use http.Server.Shutdown, which drops a request whose last byte arrives after the call.
+func (s *Server) drain(listener *limitedListener, serveError <-chan error) error {
 	s.draining.Store(true)
 	s.loop.Shutdown(acceptAfterShutdown + s.drainTimeout - shutdownMargin)
 	listener.drain(drainReused)
 	select {
-	case err := <-failed:
+	case err := <-serveError:
 		return fmt.Errorf("serve: %w", err)
 	case <-s.after(acceptAfterShutdown):
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.drainTimeout)
 	defer cancel()
 	listener.Close()
-	select { // only now are all connections known that were accepted
-	case <-failed:
+	select { // once http.Server.Serve has returned, all accepted connections are tracked
+	case <-serveError:
 	case <-ctx.Done():
 	}
 	listener.drain(drainAll)
@@ -106,5 +119,5 @@
 	case <-listener.drained:
 	case <-ctx.Done():
 	}
-	return s.http.Close() // what the timeout found was a connection without a request
+	return s.httpServer.Close() // any connection left at the timeout has no request
 }
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -24,8 +24,8 @@
 	}
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	h := newHarness(t, nettest.ClosedAddress(t), nettest.CachedCatalogJSON(stub.Addr), func(s *Server) {
-		s.http.ReadHeaderTimeout = 50 * time.Millisecond
-		s.http.IdleTimeout = 50 * time.Millisecond
+		s.httpServer.ReadHeaderTimeout = 50 * time.Millisecond
+		s.httpServer.IdleTimeout = 50 * time.Millisecond
 		s.bodyTimeout = 50 * time.Millisecond
 	})
 	noBody := nonIdempotentRequest("t")
@@ -124,8 +124,8 @@
 }
 
 // A request of which a part was read is answered even if the rest arrives after the listener has closed, on a new
-// connection as well as on a reused one. http.Server.Shutdown would close both without a response. A connection on which
-// nothing was read may be closed.
+// connection as well as on a reused one. http.Server.Shutdown would close both without a response. A connection on
+// which nothing was read may be closed.
 func TestShutdownWithPartialRequests(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	h := newHarnessWithEndpoints(t, stub.Addr)
@@ -180,9 +180,9 @@
 		return true
 	})
 	server := NewServer(newHarnessWithEndpoints(t, stub.Addr).loop, slog.New(slog.DiscardHandler))
-	if server.drainTimeout != maxCountedDeadline {
+	if server.drainTimeout != maxDrainTimeout {
 		t.Errorf("drain timeout %v for a longest deadline of %v, want %v",
-			server.drainTimeout, server.longestDeadline, maxCountedDeadline)
+			server.drainTimeout, server.longestDeadline, maxDrainTimeout)
 	}
 	h := newHarness(t, nettest.ClosedAddress(t), nettest.CachedCatalogJSON(stub.Addr), func(s *Server) {
 		s.drainTimeout = 0
