--- a/internal/nettest/nettest.go
+++ b/internal/nettest/nettest.go
@@ -1,5 +1,5 @@
-// Package nettest provides helpers for tests of the network code: stub servers on loopback, the messages that they
-// exchange, and waiting for conditions. It is imported only by tests.
+// Package nettest provides helpers for tests of the network code: stub servers on the loopback interface, the messages
+// that stubs exchange with the code under test, and functions that wait for conditions. Only tests import it.
 package nettest
 
 import (
@@ -33,7 +33,8 @@
 		"retry_after": true, "max_retry_after_ms": 50},
 	"rules": {"drain_grace_ms": 250}}`
 
-// ConfigJSON returns a configuration file with the given discovery address, cached catalog and settings object.
+// ConfigJSON returns the content of a configuration file with the given discovery address, cached catalog and
+// settings object.
 func ConfigJSON(discovery, cachedCatalog, settings string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","known":%s,"settings":%s}`,
 		discovery, cachedCatalog, settings)
@@ -42,7 +43,7 @@
 // Handler handles one request on a connection. If it returns false, the connection is closed.
 type Handler func(c net.Conn, req *http.Request, body string) bool
 
-// StubServer stands in for an endpoint or for discovery on loopback.
+// StubServer is an HTTP server on the loopback interface that stands in for an endpoint or for discovery.
 type StubServer struct {
 	Addr        string
 	Conns       atomic.Int32  // connections accepted so far
@@ -72,6 +73,7 @@
 	return s
 }
 
+// serve passes the requests on one connection to handle until handle returns false or the client disconnects.
 func (s *StubServer) serve(c net.Conn, handle Handler) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
@@ -136,7 +138,8 @@
 	return CatalogJSON(1, true, instances...)
 }
 
-// Eventually polls until a condition holds. It is for conditions that no channel or response signals.
+// Eventually polls until a condition holds, and fails the test after Timeout. It is for conditions that no channel or
+// response signals.
 func Eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(Timeout); !holds(); time.Sleep(time.Millisecond) {
@@ -146,7 +149,7 @@
 	}
 }
 
-// Receive waits for the next value of a channel.
+// Receive returns the next value of a channel. It fails the test after Timeout.
 func Receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
