--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -66,7 +66,7 @@
 // applyRuntimeLimits makes the Go runtime keep to the limits on cores and memory of the configuration.
 func applyRuntimeLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(limits.Processors())
-	if bytes := limits.RuntimeMemory(); bytes > 0 {
+	if bytes := limits.RuntimeMemoryBytes(); bytes > 0 {
 		debug.SetMemoryLimit(bytes)
 	}
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -55,7 +55,7 @@
 func (h *balancerHost) handleRecord(clock float64, rec simwire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+			h.reply.AddFault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
 	switch event := rec.Event.(type) {
@@ -74,7 +74,7 @@
 	cfg, err := settings.ParseConfig(event.Seed, event.Settings)
 	if err != nil {
 		h.instances[instance] = nil
-		h.reply.Fault(instance, err.Error())
+		h.reply.AddFault(instance, err.Error())
 		return
 	}
 	b := balance.New(cfg)
@@ -94,7 +94,7 @@
 	}
 	actions, err := b.Handle(clock, event)
 	if err != nil {
-		h.reply.Fault(instance, err.Error())
+		h.reply.AddFault(instance, err.Error())
 		return nil
 	}
 	h.reply.Add(instance, actions)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -27,8 +27,8 @@
 	runtimeMemoryFraction = 0.7
 	// readAheadFraction is the fraction of the memory limit that read-ahead of requests may use on all connections.
 	readAheadFraction = 1.0 / 32
-	// DefaultReadAhead is the result of ReadAheadBytes, in bytes, if there is no memory limit.
-	DefaultReadAhead = 4 << 20
+	// DefaultReadAheadBytes is the result of ReadAheadBytes, in bytes, if there is no memory limit.
+	DefaultReadAheadBytes = 4 << 20
 )
 
 // DownstreamConnections returns the maximum number of open client connections. It is what UpstreamConnections leaves
@@ -53,13 +53,13 @@
 // while earlier requests are being answered.
 func (l Limits) ReadAheadBytes() int64 {
 	if l.MemoryMB <= 0 {
-		return DefaultReadAhead
+		return DefaultReadAheadBytes
 	}
 	return int64(readAheadFraction * float64(l.MemoryMB) * bytesPerMB)
 }
 
-// RuntimeMemory returns the soft memory limit of the Go runtime in bytes, or 0 for no limit.
-func (l Limits) RuntimeMemory() int64 {
+// RuntimeMemoryBytes returns the soft memory limit of the Go runtime in bytes, or 0 for no limit.
+func (l Limits) RuntimeMemoryBytes() int64 {
 	if l.MemoryMB <= 0 {
 		return 0
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -82,15 +82,15 @@
 	return catalog, nil
 }
 
-// Watch calls handle with each message that is newer than the generation after. It returns when the watch ends, always
+// Watch calls handle with each message that is newer than afterGeneration. It returns when the watch ends, always
 // with an error. The response must begin within the timeout. From then on, the watch times out with ErrStalled only if
 // neither a heartbeat nor a whole message comes for WatchStallTimeout.
-func (c *Client) Watch(ctx context.Context, after uint64, timeout time.Duration, handle func(Catalog)) error {
+func (c *Client) Watch(ctx context.Context, afterGeneration uint64, timeout time.Duration, handle func(Catalog)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	responseTimer := time.AfterFunc(timeout, func() { cancel(ErrTimeout) })
 	defer responseTimer.Stop()
-	body, err := c.get(ctx, url.Values{"watch": {"1"}, "after": {strconv.FormatUint(after, 10)}})
+	body, err := c.get(ctx, url.Values{"watch": {"1"}, "after": {strconv.FormatUint(afterGeneration, 10)}})
 	if err != nil {
 		return fmt.Errorf("watch: %w", err)
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -75,7 +75,7 @@
 		balance.WatchFailed:  "no response",
 		balance.WatchStalled: "a response that stalls",
 	} {
-		worst := 0.0
+		longest := 0.0
 		for seed := range uint64(50) {
 			b := balance.New(balance.Config{
 				Seed:         seed,
@@ -103,10 +103,10 @@
 				callDuration = stallTimeout
 			}
 			elapsed += callDuration + handle(balance.EndpointUpdate{Kind: kind})
-			worst = max(worst, elapsed)
+			longest = max(longest, elapsed)
 		}
-		if worst > 6000 {
-			t.Errorf("after %s the next watch begins only after %v ms, want at most 6000 ms", name, worst)
+		if longest > 6000 {
+			t.Errorf("after %s the next watch begins only after %v ms, want at most 6000 ms", name, longest)
 		}
 	}
 }
--- a/internal/downstream/head_recorder_test.go
+++ b/internal/downstream/head_recorder_test.go
@@ -32,18 +32,18 @@
 		"pipelined":  {first + start + lengths + smuggled},
 		"kept alive": {first, start + lengths + smuggled},
 	} {
-		before := stub.Requests.Load()
+		wantRequests := stub.Requests.Load()
 		c, reader := h.connect()
 		for _, part := range parts {
 			io.WriteString(c, part)
 			if part == first {
 				h.readResponse(reader)
-				before++
+				wantRequests++
 			}
 		}
 		if name == "pipelined" {
 			h.readResponse(reader)
-			before++
+			wantRequests++
 		}
 		if resp, _ := h.readResponse(reader); resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%s: status %d, close %v, want 400 and close", name, resp.StatusCode, resp.Close)
@@ -51,7 +51,7 @@
 		if _, err := reader.ReadByte(); err != io.EOF {
 			t.Errorf("%s: error %v after the response, want the end of the connection", name, err)
 		}
-		if n := stub.Requests.Load() - before; n != 0 {
+		if n := stub.Requests.Load() - wantRequests; n != 0 {
 			t.Errorf("%s: %d requests were forwarded, want none", name, n)
 		}
 	}
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := newLimitedListener(inner, 1, config.DefaultReadAhead)
+	ln := newLimitedListener(inner, 1, config.DefaultReadAheadBytes)
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
 	go server.Serve(ln)
 	defer server.Close()
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := newLimitedListener(inner, 0, config.DefaultReadAhead)
+	ln := newLimitedListener(inner, 0, config.DefaultReadAheadBytes)
 	for range cap(ln.rejectionSlots) { // simulates clients that are slow to close their connections
 		ln.rejectionSlots <- struct{}{}
 	}
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -99,7 +99,7 @@
 				return stats.ClientsCanceled == 1 && stats.OpenRequests == 0
 			})
 			nettest.Eventually(t, "the read-ahead budget is released", func() bool {
-				return h.server.listener.Load().readAheadBudget.Load() == config.DefaultReadAhead
+				return h.server.listener.Load().readAheadBudget.Load() == config.DefaultReadAheadBytes
 			})
 			if n := int(stub.Requests.Load()); n != test.responses+1 {
 				t.Errorf("%d requests were forwarded, want %d", n, test.responses+1)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -78,9 +78,9 @@
 	return s
 }
 
-// Serve accepts connections of ln and serves their requests until stop ends. It then shuts down gracefully and returns
+// Serve accepts connections of ln and serves their requests until shutdownCtx ends. It then shuts down gracefully and returns
 // when all accepted requests are answered, or after the drain timeout.
-func (s *Server) Serve(stop context.Context, ln net.Listener) error {
+func (s *Server) Serve(shutdownCtx context.Context, ln net.Listener) error {
 	limits := s.loop.Config().Limits
 	listener := newLimitedListener(ln, limits.DownstreamConnections(), limits.ReadAheadBytes())
 	s.listener.Store(listener)
@@ -90,7 +90,7 @@
 	select {
 	case err := <-serveError:
 		return fmt.Errorf("serve: %w", err)
-	case <-stop.Done():
+	case <-shutdownCtx.Done():
 	}
 	return s.drain(listener, serveError)
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -9,7 +9,8 @@
 )
 
 // document is the settings object as JSON. Most fields are named after the fields of balance.Config and Settings that
-// they set, and the tags hold the keys of the settings object. Unknown keys are ignored.
+// they set, and the tags hold the keys of the settings object. The fields of Report and Clients are named after their
+// keys, because encoding/json writes the fields of an anonymous struct into its error texts. Unknown keys are ignored.
 type document struct {
 	Classes         []classDocument  `json:"classes"`
 	Tenants         []tenantDocument `json:"tenants"`
@@ -22,11 +23,11 @@
 	OverQuotaWeight *float64         `json:"over_share_worth"`
 	BatchInterval   float64          `json:"quantum_ms"`
 	Report          struct {
-		Source string   `json:"via"`
+		Via    string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Clients struct {
-		MarkRetries bool `json:"marks_retry"`
+		MarksRetry bool `json:"marks_retry"`
 	} `json:"clients"`
 	Limits    limitsDocument    `json:"limits"`
 	Rules     rulesDocument     `json:"rules"`
@@ -150,7 +151,7 @@
 		Zone:               d.Zone,
 		OverQuotaWeight:    orDefault(d.OverQuotaWeight, 1),
 		BatchInterval:      d.BatchInterval,
-		ClientsMarkRetries: d.Clients.MarkRetries,
+		ClientsMarkRetries: d.Clients.MarksRetry,
 		Goal:               balance.Goal(d.Goal),
 		Penalties:          balance.Penalties(d.Penalties),
 	}
@@ -190,10 +191,10 @@
 func (d *document) applySources(cfg *balance.Config) error {
 	var known bool
 	if cfg.Subscribe, known = subscribeNames[d.Discovery]; !known {
-		return invalid("discovery", d.Discovery)
+		return invalidValue("discovery", d.Discovery)
 	}
-	if cfg.ReportSource, known = reportSourceNames[d.Report.Source]; !known {
-		return invalid("report.via", d.Report.Source)
+	if cfg.ReportSource, known = reportSourceNames[d.Report.Via]; !known {
+		return invalidValue("report.via", d.Report.Via)
 	}
 	for _, name := range d.Report.Fields {
 		cfg.ReportFields = append(cfg.ReportFields, reportFieldNames[name])
@@ -218,17 +219,17 @@
 func (c *classDocument) balancerClass() (balance.Class, error) {
 	idempotency, known := idempotencyNames[c.Idempotency]
 	if !known {
-		return balance.Class{}, invalid("effect", c.Idempotency)
+		return balance.Class{}, invalidValue("effect", c.Idempotency)
 	}
 	scope, known := dedupScopeNames[c.DedupScope]
 	if !known {
-		return balance.Class{}, invalid("group", c.DedupScope)
+		return balance.Class{}, invalidValue("group", c.DedupScope)
 	}
 	if !(c.Deadline > 0) {
-		return balance.Class{}, invalid("hard_limit_ms", c.Deadline)
+		return balance.Class{}, invalidValue("hard_limit_ms", c.Deadline)
 	}
 	if c.LatencyObjective < 0 {
-		return balance.Class{}, invalid("on_time_ms", c.LatencyObjective)
+		return balance.Class{}, invalidValue("on_time_ms", c.LatencyObjective)
 	}
 	objective := c.LatencyObjective
 	if objective == 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,7 +39,7 @@
 
 var errInvalidValue = errors.New("invalid value")
 
-func invalid(field string, value any) error {
+func invalidValue(field string, value any) error {
 	return &FieldError{Field: field, Err: fmt.Errorf("%w: %v", errInvalidValue, value)}
 }
 
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -110,7 +110,7 @@
 	}
 	a.ended = true
 	a.cancel()
-	if response.Result == balance.TimedOut && a.upstreamAttempt.Claim() { // it was never sent
+	if response.Result == balance.TimedOut && a.upstreamAttempt.ClaimStart() { // it was never sent
 		response = upstream.Response{Result: balance.ConnectFailed, Err: errConnectTimeout}
 	}
 	r := a.request
@@ -144,7 +144,7 @@
 	if a.ended {
 		return
 	}
-	a.upstreamAttempt.Claim()
+	a.upstreamAttempt.ClaimStart()
 	a.cancel()
 	d.postpone(func() { d.finishAttempt(a, upstream.Response{Result: balance.Canceled}) })
 }
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -150,7 +150,7 @@
 func (d *fleetDiscovery) markNotified(peerIndex int, catalog string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, before := d.notifiedAt[peerIndex]; !before && d.catalog == catalog {
+	if _, alreadyNotified := d.notifiedAt[peerIndex]; !alreadyNotified && d.catalog == catalog {
 		d.notifiedAt[peerIndex] = time.Now()
 	}
 }
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -91,12 +91,12 @@
 	})
 	nettest.Receive(t, sent)
 	nettest.Eventually(t, "the message is received", func() bool { return balancerStats(first).GossipReceived == 1 })
-	stranger, err := net.Dial("udp", addrs[0])
+	unknownSender, err := net.Dial("udp", addrs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	stranger.Write(message)
+	defer unknownSender.Close()
+	unknownSender.Write(message)
 	nettest.Eventually(t, "the message of an unknown sender is dropped", func() bool {
 		return balancerStats(first).GossipDropped == 1
 	})
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -160,7 +160,7 @@
 	d.stats.ClientsCanceled++
 	d.handle(balance.ClientCanceled{Request: r.id})
 	for _, a := range r.attempts {
-		if !a.ended && a.upstreamAttempt.Claim() {
+		if !a.ended && a.upstreamAttempt.ClaimStart() {
 			d.finishAttempt(a, upstream.Response{Result: balance.NotSent, Err: errClientDisconnected})
 		}
 	}
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -18,11 +18,11 @@
 	}
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.cancelWatch = cancel
-	after, client, startedAt := d.generation, d.discovery, d.clock.Now()
+	generation, client, startedAt := d.generation, d.discovery, d.clock.Now()
 	d.stats.DiscoveryCalls++
 	d.loop.workers.Go(func() {
 		first := true
-		err := client.Watch(ctx, after, timeout, func(catalog discovery.Catalog) {
+		err := client.Watch(ctx, generation, timeout, func(catalog discovery.Catalog) {
 			latency, isFirst := d.clock.Now()-startedAt, first
 			first = false
 			d.loop.enqueue(func(d *dispatcher) {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -93,15 +93,15 @@
 		})
 		return draining
 	}
-	if after := nettest.Receive(t, generations); after != "41" {
-		t.Errorf("first watch after generation %s, want 41", after)
+	if generation := nettest.Receive(t, generations); generation != "41" {
+		t.Errorf("first watch after generation %s, want 41", generation)
 	}
 	catalogs <- nettest.CatalogJSON(43, false, nettest.InstanceJSON("s", addr, "draining"))
 	nettest.Eventually(t, "the endpoint is draining", isDraining)
 	catalogs <- nettest.CatalogJSON(42, false, nettest.InstanceJSON("s", addr, "up"))
 	catalogs <- "" // ends the call, unless the client has ended it
-	if after := nettest.Receive(t, generations); after != "0" || !isDraining() {
-		t.Errorf("second watch after generation %s, draining %v, want 0 and still draining", after, isDraining())
+	if generation := nettest.Receive(t, generations); generation != "0" || !isDraining() {
+		t.Errorf("second watch after generation %s, draining %v, want 0 and still draining", generation, isDraining())
 	}
 	catalogs <- nettest.CatalogJSON(2, true, nettest.InstanceJSON("s", addr, "up"))
 	nettest.Eventually(t, "the snapshot is applied", func() bool { return !isDraining() })
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -92,13 +92,13 @@
 	}
 	f := recordReader{data: r.buf.Bytes()}
 	for i := uint32(0); i < count; i++ {
-		at := f.pos + frameHeaderSize
-		rec, err := r.record(&f)
+		offset := f.pos + frameHeaderSize
+		rec, err := r.readRecord(&f)
 		if err == nil && rec.Event != nil {
 			err = handle(clock, rec)
 		}
 		if err != nil {
-			return fmt.Errorf("record %d at byte %d: %w", i, at, err)
+			return fmt.Errorf("record %d at byte %d: %w", i, offset, err)
 		}
 	}
 	if f.remaining() != 0 {
@@ -111,17 +111,17 @@
 // the header. The buffer grows with the bytes that arrive, so that a wrong length in the header causes no large
 // allocation.
 func (r *Reader) readFrame() (count uint32, clock float64, err error) {
-	var head [frameHeaderSize]byte
-	_, err = io.ReadFull(r.in, head[:])
+	var header [frameHeaderSize]byte
+	_, err = io.ReadFull(r.in, header[:])
 	if errors.Is(err, io.EOF) {
 		return 0, 0, io.EOF
 	}
 	if err != nil {
 		return 0, 0, fmt.Errorf("truncated frame header: %w", err)
 	}
-	count = binary.BigEndian.Uint32(head[0:])
-	size := binary.BigEndian.Uint32(head[4:])
-	clock = math.Float64frombits(binary.BigEndian.Uint64(head[8:]))
+	count = binary.BigEndian.Uint32(header[0:])
+	size := binary.BigEndian.Uint32(header[4:])
+	clock = math.Float64frombits(binary.BigEndian.Uint64(header[8:]))
 	if size < frameHeaderSize || size > maxFrameSize {
 		return 0, 0, fmt.Errorf("frame length %d: want %d to %d", size, frameHeaderSize, maxFrameSize)
 	}
@@ -139,13 +139,13 @@
 	return count, clock, nil
 }
 
-// record decodes the next record of a frame.
-func (r *Reader) record(f *recordReader) (Record, error) {
+// readRecord decodes the next record of a frame.
+func (r *Reader) readRecord(f *recordReader) (Record, error) {
 	code, instance := f.u16(), f.u16()
 	if f.truncated {
 		return Record{}, ErrTruncated
 	}
-	event, err := r.event(code, instance, f)
+	event, err := r.readEvent(code, instance, f)
 	if err == nil && f.truncated {
 		err = ErrTruncated
 	}
@@ -155,12 +155,12 @@
 	return Record{Instance: instance, Event: event}, nil
 }
 
-// event decodes the part of a record that depends on its event code. For an endpoint table, whose record has the table
+// readEvent decodes the part of a record that depends on its event code. For an endpoint table, whose record has the table
 // number in place of the instance, it stores the table and returns nil.
-func (r *Reader) event(code, instance uint16, f *recordReader) (any, error) {
+func (r *Reader) readEvent(code, instance uint16, f *recordReader) (any, error) {
 	switch code {
 	case codeEndpointTable:
-		return nil, r.endpointTable(f, instance)
+		return nil, r.readEndpointTable(f, instance)
 	case codeInstanceStart:
 		seed := f.u64()
 		size := f.u32()
@@ -168,19 +168,19 @@
 	case codeInstanceDown:
 		return InstanceDown{}, nil
 	case codeEndpointUpdate:
-		return r.endpointUpdate(f)
+		return r.readEndpointUpdate(f)
 	case codeRequest:
-		return request(f), nil
+		return readRequest(f), nil
 	case codeTimer:
 		return balance.Timer{Token: f.u64()}, nil
 	case codeResponseStarted:
-		return responseStarted(f), nil
+		return readResponseStarted(f), nil
 	case codeAttemptResult:
-		return r.attemptResult(f)
+		return r.readAttemptResult(f)
 	case codeClientCanceled:
 		return balance.ClientCanceled{Request: f.requestID()}, nil
 	case codeHealthCheckResult:
-		return r.healthCheckResult(f)
+		return r.readHealthCheckResult(f)
 	case codeGossip:
 		sender := int(f.u16())
 		size := uint32(f.u16())
@@ -190,8 +190,8 @@
 	}
 }
 
-// endpointTable decodes an endpoint table and stores it under its number.
-func (r *Reader) endpointTable(f *recordReader, table uint16) error {
+// readEndpointTable decodes an endpoint table and stores it under its number.
+func (r *Reader) readEndpointTable(f *recordReader, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("endpoint table %d: want 0 to %d", table, maxTables-1)
 	}
@@ -228,8 +228,8 @@
 	return e, nil
 }
 
-// endpointUpdate decodes an update, whose entries are those of the endpoint table that it names.
-func (r *Reader) endpointUpdate(f *recordReader) (any, error) {
+// readEndpointUpdate decodes an update, whose entries are those of the endpoint table that it names.
+func (r *Reader) readEndpointUpdate(f *recordReader) (any, error) {
 	code := f.u8()
 	f.u32() // generation of the endpoint list, which is not used
 	table := f.u16()
@@ -249,8 +249,8 @@
 	return balance.EndpointUpdate{Kind: kind, Endpoints: r.tables[table]}, nil
 }
 
-// request decodes a client's request.
-func request(f *recordReader) balance.Request {
+// readRequest decodes a client's request.
+func readRequest(f *recordReader) balance.Request {
 	r := balance.Request{ID: f.requestID(), Tenant: int(f.u16())}
 	workHint, flags := f.f64(), f.u16()
 	if flags&requestHasWorkHint != 0 {
@@ -264,8 +264,8 @@
 	return r
 }
 
-// responseStarted decodes the start of a streamed response.
-func responseStarted(f *recordReader) balance.ResponseStarted {
+// readResponseStarted decodes the start of a streamed response.
+func readResponseStarted(f *recordReader) balance.ResponseStarted {
 	return balance.ResponseStarted{
 		Request:  f.requestID(),
 		Attempt:  int(f.u8()),
@@ -274,31 +274,31 @@
 	}
 }
 
-// attemptResult decodes the end of an attempt.
-func (r *Reader) attemptResult(f *recordReader) (any, error) {
+// readAttemptResult decodes the end of an attempt.
+func (r *Reader) readAttemptResult(f *recordReader) (any, error) {
 	event := balance.AttemptResult{Request: f.requestID(), Attempt: int(f.u8()), Endpoint: f.endpointID()}
 	code := f.u16()
 	event.Latency = f.f64()
 	event.RequestClosed = f.u8() != 0
-	event.LoadReport = r.loadReport(f)
+	event.LoadReport = r.readLoadReport(f)
 	var err error
-	event.Result, err = result(code, f)
+	event.Result, err = resultOfCode(code, f)
 	return event, err
 }
 
-// healthCheckResult decodes the end of a health check.
-func (r *Reader) healthCheckResult(f *recordReader) (any, error) {
+// readHealthCheckResult decodes the end of a health check.
+func (r *Reader) readHealthCheckResult(f *recordReader) (any, error) {
 	event := balance.HealthCheckResult{Latency: f.f64()}
 	code := f.u16()
 	event.Endpoint = f.endpointID()
-	event.LoadReport = r.loadReport(f)
+	event.LoadReport = r.readLoadReport(f)
 	var err error
-	event.Result, err = result(code, f)
+	event.Result, err = resultOfCode(code, f)
 	return event, err
 }
 
-// result returns the result for a result code. A truncated record causes no error here, as record reports it.
-func result(code uint16, f *recordReader) (balance.Result, error) {
+// resultOfCode returns the result for a result code. A truncated record causes no error here, as readRecord reports it.
+func resultOfCode(code uint16, f *recordReader) (balance.Result, error) {
 	res, known := resultCodes[code]
 	if !known && !f.truncated {
 		return 0, fmt.Errorf("unknown result code %d", code)
@@ -306,8 +306,8 @@
 	return res, nil
 }
 
-// loadReport decodes the values of a load report. The returned slice is valid until the next record is read.
-func (r *Reader) loadReport(f *recordReader) []float32 {
+// readLoadReport decodes the values of a load report. The returned slice is valid until the next record is read.
+func (r *Reader) readLoadReport(f *recordReader) []float32 {
 	r.reportBuffer = r.reportBuffer[:0]
 	for n := f.u8(); n > 0; n-- {
 		r.reportBuffer = append(r.reportBuffer, f.f32())
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -19,7 +19,7 @@
 	codeCloseIdle     = 1060 // action code of balance.CloseIdle
 	codeSendGossip    = 1070 // action code of balance.SendGossip
 	codeLog           = 1080 // action code of balance.Log
-	codeFault         = 1090 // action code of a fault; see Reply.Fault
+	codeFault         = 1090 // action code of a fault; see Reply.AddFault
 	codeWatch         = 1100 // action code of balance.Watch
 	codeFetch         = 1110 // action code of balance.Fetch
 )
@@ -54,7 +54,7 @@
 }
 
 // Fault appends a report that an instance failed, with a text that says why.
-func (r *Reply) Fault(instance uint16, text string) {
+func (r *Reply) AddFault(instance uint16, text string) {
 	r.header(codeFault, instance)
 	r.text([]byte(text))
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -49,20 +49,20 @@
 type roundTrip struct {
 	method         string
 	connectionIdle time.Duration // how long the connection had been idle before; 0 for a new connection
-	started        atomic.Bool   // the first byte of the request may have been sent
-	written        chan struct{} // closed when the write of the request has ended
-	done           chan Response // receives the one result; buffered
+	writeStarted   atomic.Bool   // the first byte of the request may have been sent
+	writeEnded     chan struct{} // closed when the write of the request has ended
+	result         chan Response // receives the one result; buffered
 }
 
 func newRoundTrip(method string) *roundTrip {
-	return &roundTrip{method: method, written: make(chan struct{}), done: make(chan Response, 1)}
+	return &roundTrip{method: method, writeEnded: make(chan struct{}), result: make(chan Response, 1)}
 }
 
 // respondedEarly reports whether the response arrived although the request is not completely written. It waits up to
 // earlyResponseWait for the write to end.
 func (rt *roundTrip) respondedEarly() bool {
 	select {
-	case <-rt.written:
+	case <-rt.writeEnded:
 		return false
 	case <-time.After(earlyResponseWait):
 		return true
@@ -75,28 +75,28 @@
 	for {
 		c.limited.remaining = maxResponseSize
 		_, err := c.reader.Peek(1)
-		rt, next := p.nextReadStep(c, err)
-		switch next {
+		rt, step := p.nextReadStep(c, err)
+		switch step {
 		case retryRead:
 			continue
 		case closeConnection:
 			c.Close()
 			if rt != nil {
-				rt.done <- failure(balance.Reset, connectionError(err))
+				rt.result <- failure(balance.Reset, connectionError(err))
 			}
 			return
 		}
 		r, reusable := p.receiveResponse(c, rt)
 		if reusable && c.reader.Buffered() == 0 {
 			p.release(c, rt)
-			rt.done <- r
+			rt.result <- r
 			continue
 		}
 		p.mu.Lock()
 		p.remove(c)
 		p.mu.Unlock()
 		c.Close()
-		rt.done <- r
+		rt.result <- r
 		return
 	}
 }
@@ -129,7 +129,7 @@
 	if rt != nil && errors.Is(err, os.ErrDeadlineExceeded) { // idle timeout just as the connection was acquired
 		return rt, retryRead
 	}
-	if rt == nil || err != nil || !rt.started.Load() {
+	if rt == nil || err != nil || !rt.writeStarted.Load() {
 		p.remove(c)
 		if rt != nil && rt.connectionIdle > 0 {
 			c.endpoint.keepAlive.recordLost(rt.connectionIdle)
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -39,8 +39,8 @@
 	defer nc.Close()
 	pool := newTestPool(t, 9)
 	rt := newRoundTrip("GET")
-	rt.started.Store(true)
-	close(rt.written)
+	rt.writeStarted.Store(true)
+	close(rt.writeEnded)
 	limited := &limitedReader{source: &deadlineOnFirstRead{Conn: nc}}
 	c := &conn{
 		Conn:      nc,
@@ -52,7 +52,7 @@
 	}
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	go pool.readLoop(c)
-	if r := nettest.Receive(t, rt.done); r.Result != balance.OK {
+	if r := nettest.Receive(t, rt.result); r.Result != balance.OK {
 		t.Errorf("result %v (%v), want %v", r.Result, r.Err, balance.OK)
 	}
 }
--- a/internal/upstream/do.go
+++ b/internal/upstream/do.go
@@ -23,7 +23,7 @@
 		return failure(balance.ConnectFailed, err)
 	}
 	now := p.options.Clock.Now()
-	if !p.claimStart(a, now) {
+	if !p.tryStart(a, now) {
 		p.release(c, rt)
 		return failure(balance.NotSent, ErrNotSent)
 	}
@@ -36,7 +36,7 @@
 		return failure(balance.ConnectFailed, err)
 	}
 	select {
-	case r := <-rt.done:
+	case r := <-rt.result:
 		return r
 	case <-ctx.Done():
 		p.closeIfCurrent(c, rt)
@@ -44,23 +44,23 @@
 	}
 }
 
-// claimStart claims the start of an attempt whose connection is established and reports whether its request may be
-// sent. Connecting can take long: meanwhile the deadline may have passed, the endpoint's drain grace may be over, the
-// endpoint may forget the idempotency key (Attempt.StartBefore), or the attempt may have been canceled.
-func (p *Pool) claimStart(a *Attempt, now float64) bool {
+// tryStart claims the start of an attempt whose connection is established and reports whether its request may be sent.
+// Connecting can take long: meanwhile the deadline may have passed, the endpoint's drain grace may have ended, the
+// endpoint may have forgotten the idempotency key (Attempt.StartBefore), or the attempt may have been canceled.
+func (p *Pool) tryStart(a *Attempt, now float64) bool {
 	if now >= a.StartBefore || now >= a.Deadline || a.Endpoint.drainGraceExpired(now, p.options.DrainGrace) {
 		return false
 	}
-	return a.Claim()
+	return a.ClaimStart()
 }
 
 // write sends the request and reports whether it was completely written.
 func (p *Pool) write(c *conn, rt *roundTrip, a *Attempt, now float64) (complete bool, err error) {
 	c.SetWriteDeadline(p.options.Clock.Time(a.Deadline))
 	data := a.Request.encode(c.addr, a.Deadline-now)
-	rt.started.Store(true)
+	rt.writeStarted.Store(true)
 	n, err := c.Write(data)
-	close(rt.written)
+	close(rt.writeEnded)
 	return n == len(data), err
 }
 
--- a/internal/upstream/do_test.go
+++ b/internal/upstream/do_test.go
@@ -25,7 +25,7 @@
 		},
 		"the deduplication window is over": func(p *Pool, a *Attempt) { a.StartBefore = p.options.Clock.Now() },
 		"the deadline has passed":          func(p *Pool, a *Attempt) { a.Deadline = p.options.Clock.Now() },
-		"the attempt was canceled":         func(_ *Pool, a *Attempt) { a.Claim() },
+		"the attempt was canceled":         func(_ *Pool, a *Attempt) { a.ClaimStart() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
--- a/internal/upstream/keep_alive.go
+++ b/internal/upstream/keep_alive.go
@@ -29,13 +29,13 @@
 // recordLost records that a connection was lost when it was reused after some idle time. Because connections are also
 // lost by chance, a limit is learned only from two losses in a row, without a connection working in between that had
 // been idle for at least as long as the first lost one. Losses after less than minLearnedIdleLimit are ignored.
-func (k *keepAliveEstimator) recordLost(idle time.Duration) {
+func (k *keepAliveEstimator) recordLost(idleTime time.Duration) {
 	switch {
-	case idle < minLearnedIdleLimit:
+	case idleTime < minLearnedIdleLimit:
 	case k.candidateLimit == 0:
-		k.candidateLimit = idle
+		k.candidateLimit = idleTime
 	default:
-		shorter := min(idle, k.candidateLimit)
+		shorter := min(idleTime, k.candidateLimit)
 		k.learnedLimit = max(minLearnedIdleLimit, time.Duration(idleTimeoutFraction*float64(shorter)))
 		k.learnedAt = time.Now()
 		k.candidateLimit = 0
@@ -43,8 +43,8 @@
 }
 
 // recordReused records that a connection still worked after some idle time.
-func (k *keepAliveEstimator) recordReused(idle time.Duration) {
-	if idle >= k.candidateLimit {
+func (k *keepAliveEstimator) recordReused(idleTime time.Duration) {
+	if idleTime >= k.candidateLimit {
 		k.candidateLimit = 0
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -45,14 +45,14 @@
 
 // Attempt is one attempt to have a request served by an endpoint. Times are those of Options.Clock, in ms.
 type Attempt struct {
-	Endpoint    *Endpoint
-	Request     Request
-	Deadline    float64 // time at which the sidecar stops waiting for the response
-	StartBefore float64 // time before which the first byte of the request must be sent; +Inf for no limit
-	claimed     atomic.Bool
+	Endpoint     *Endpoint
+	Request      Request
+	Deadline     float64     // time at which the sidecar stops waiting for the response
+	StartBefore  float64     // time before which the first byte of the request must be sent; +Inf for no limit
+	startClaimed atomic.Bool // whether ClaimStart was called
 }
 
-// Claim settles whether an attempt is sent or given up before its first byte is sent. The sender calls Claim before it
-// writes the request, and so does whoever gives the attempt up; only the first call returns true. If giving up comes
-// first, the request is never sent and therefore known not to have been executed.
-func (a *Attempt) Claim() bool { return a.claimed.CompareAndSwap(false, true) }
+// ClaimStart claims the start of the attempt and reports whether this call was the first. Pool.Do claims the start
+// before it writes the request. A caller that cancels the attempt or ends it at its deadline claims the start too: if
+// the caller is first, the request is never sent and therefore known not to have been executed.
+func (a *Attempt) ClaimStart() bool { return a.startClaimed.CompareAndSwap(false, true) }
