--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -32,7 +32,7 @@
 
 // run runs the sidecar until it is told to shut down.
 func run() error {
-	// Neither registration is undone, since a signal that arrives during the shutdown must not kill the process.
+	// The signal handlers stay registered, because a signal that arrives during the shutdown must not kill the process.
 	shutdownCtx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// applyRuntimeLimits makes the Go runtime keep to the limits on cores and memory of the configuration.
+// applyRuntimeLimits limits the processors and the memory that the Go runtime uses, as the configuration says.
 func applyRuntimeLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(limits.Processors())
 	if bytes := limits.RuntimeMemoryBytes(); bytes > 0 {
@@ -80,8 +80,8 @@
 	return config.Parse(raw)
 }
 
-// reloadOnHangup reads the configuration file at each SIGHUP and applies its address of discovery, until ctx ends. A
-// file that cannot be read or is invalid changes nothing.
+// reloadOnHangup reads the configuration file at each SIGHUP and applies its address of discovery, until ctx ends. If
+// the file cannot be read or is invalid, the current address stays in use.
 func reloadOnHangup(ctx context.Context, hangup <-chan os.Signal, loop *sidecar.Loop, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -24,23 +24,23 @@
 
 // The sizes of action records in bytes.
 const (
-	startAttemptSize = 26
-	setTimerSize     = 20
+	startAttemptSize = 26 // size of a record that starts an attempt, in bytes
+	setTimerSize     = 20 // size of a record that sets a timer, in bytes
 )
 
 // inputBuilder builds the adapter's input.
 type inputBuilder struct{ bytes.Buffer }
 
 // frame appends a frame with the given records.
-func (s *inputBuilder) frame(clock float64, records ...[]byte) {
+func (input *inputBuilder) frame(clock float64, records ...[]byte) {
 	size := 16
 	for _, r := range records {
 		size += len(r)
 	}
-	binary.Write(s, binary.BigEndian, []uint32{uint32(len(records)), uint32(size)})
-	binary.Write(s, binary.BigEndian, clock)
+	binary.Write(input, binary.BigEndian, []uint32{uint32(len(records)), uint32(size)})
+	binary.Write(input, binary.BigEndian, clock)
 	for _, r := range records {
-		s.Write(r)
+		input.Write(r)
 	}
 }
 
@@ -80,10 +80,10 @@
 }
 
 // mustRun runs the adapter on an input and returns its replies.
-func mustRun(t *testing.T, s *inputBuilder) []byte {
+func mustRun(t *testing.T, input *inputBuilder) []byte {
 	t.Helper()
 	var out bytes.Buffer
-	if err := run(&s.Buffer, &out); err != nil {
+	if err := run(&input.Buffer, &out); err != nil {
 		t.Fatal(err)
 	}
 	return out.Bytes()
@@ -113,20 +113,20 @@
 }
 
 // The actions of an instance do not depend on the other instances of its process.
-func TestActionsAreIndependentOfProcessCount(t *testing.T) {
+func TestActionsAreIndependentOfOtherInstances(t *testing.T) {
 	runInstances := func(instances ...uint16) []byte {
-		s := &inputBuilder{}
+		input := &inputBuilder{}
 		var first [][]byte
 		for _, i := range instances {
 			first = append(first, instanceStart(i, uint64(i)*7, testSettings), endpointTable(5), cachedSnapshot(i))
 		}
-		s.frame(1000, first...)
+		input.frame(1000, first...)
 		for id := range uint64(60) {
 			for _, i := range instances {
-				s.frame(1001+float64(id), requestEvent(i, id))
+				input.frame(1001+float64(id), requestEvent(i, id))
 			}
 		}
-		return mustRun(t, s)
+		return mustRun(t, input)
 	}
 	together := runInstances(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
@@ -162,9 +162,9 @@
 }
 
 // An instance can go down and start again within one frame. A timer that its earlier run had set is ignored.
-func TestRestartWithinABatch(t *testing.T) {
-	s := &inputBuilder{}
-	s.frame(1000,
+func TestRestartWithinAFrame(t *testing.T) {
+	input := &inputBuilder{}
+	input.frame(1000,
 		instanceStart(1, 7, testSettings),
 		endpointTable(3),
 		cachedSnapshot(1),
@@ -173,17 +173,17 @@
 		instanceStart(1, 8, testSettings),
 		cachedSnapshot(1),
 		requestEvent(1, 6))
-	s.frame(1001, record(eventTimer, uint16(1), uint64(5))) // the timer of request 5, which belongs to the earlier run
-	if n := countAttempts(t, mustRun(t, s)); n[1] != 2 {
+	input.frame(1001, record(eventTimer, uint16(1), uint64(5))) // the timer of request 5 in the earlier run
+	if n := countAttempts(t, mustRun(t, input)); n[1] != 2 {
 		t.Fatalf("%d attempts, want one in each run", n[1])
 	}
 }
 
 // Invalid settings are reported to the simulator as a fault with the reason.
 func TestInvalidSettingsAreReported(t *testing.T) {
-	s := &inputBuilder{}
-	s.frame(1000, instanceStart(1, 7, `{"classes": []}`), endpointTable(1), cachedSnapshot(1))
-	out := mustRun(t, s)
+	input := &inputBuilder{}
+	input.frame(1000, instanceStart(1, 7, `{"classes": []}`), endpointTable(1), cachedSnapshot(1))
+	out := mustRun(t, input)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != actionFault || !strings.Contains(string(out), "no classes") {
 		t.Fatalf("reply %q, want a fault that says no classes", out)
 	}
@@ -195,10 +195,10 @@
 	notStarted.frame(1000, requestEvent(4, 1))
 	invalidClock := &inputBuilder{}
 	invalidClock.frame(math.Inf(1))
-	for name, s := range map[string]*inputBuilder{"instance not started": notStarted, "invalid clock": invalidClock} {
+	for name, in := range map[string]*inputBuilder{"instance not started": notStarted, "invalid clock": invalidClock} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
+			if err := run(&in.Buffer, &out); err == nil || out.Len() > 0 {
 				t.Errorf("error %v and %d bytes of reply, want an error and no reply", err, out.Len())
 			}
 		})
@@ -237,8 +237,8 @@
 
 // Invalid settings fault only their own instance; the other instances of the process continue.
 func TestInvalidSettingsLeaveOtherInstancesAlone(t *testing.T) {
-	s := &inputBuilder{}
-	s.frame(1000,
+	input := &inputBuilder{}
+	input.frame(1000,
 		instanceStart(1, 7, `{"classes": 5}`),
 		instanceStart(2, 7, testSettings),
 		endpointTable(2),
@@ -246,7 +246,7 @@
 		cachedSnapshot(2),
 		requestEvent(1, 5),
 		requestEvent(2, 6))
-	out := mustRun(t, s)
+	out := mustRun(t, input)
 	if binary.BigEndian.Uint16(out[4:]) != actionFault || binary.BigEndian.Uint16(out[6:]) != 1 {
 		t.Fatalf("reply %x, want a fault of instance 1", out)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 	Listen        string // address (host:port) to which clients connect
 	Discovery     string // address (host:port) of discovery
 	Limits        Limits
-	CachedCatalog discovery.Catalog // endpoint list that this sidecar last had; zero if none
+	CachedCatalog discovery.Catalog // endpoint list that this sidecar had last; zero if there is none
 	Settings      settings.Settings
 	Gossip        Gossip
 }
@@ -84,7 +84,7 @@
 	return c, err
 }
 
-// checkAddress returns an error if the address is not of the form host:port.
+// checkAddress returns a FieldError for the field if the address is not of the form host:port.
 func checkAddress(field, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return &FieldError{Field: field, Err: err}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// parseCachedCatalog returns the zero Catalog if the file has none.
+// parseCachedCatalog parses the cached endpoint list. It returns the zero Catalog if the file has no list.
 func parseCachedCatalog(raw json.RawMessage) (discovery.Catalog, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return discovery.Catalog{}, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,10 +14,10 @@
 // nothing.
 func TestDescriptorLimits(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
-		limits, third := Limits{Sockets: sockets}, sockets/3
+		limits, activeClients := Limits{Sockets: sockets}, sockets/3
 		downstream, upstream := limits.DownstreamConnections(), limits.UpstreamConnections()
 		total := downstream + upstream + MaxConcurrentRejections
-		if total > sockets-32 || upstream < third || downstream < third+16 {
+		if total > sockets-32 || upstream < activeClients || downstream < activeClients+16 {
 			t.Errorf("%d descriptors: %d downstream and %d upstream connections", sockets, downstream, upstream)
 		}
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,9 +2,9 @@
 
 // Limits holds the resource limits of the sidecar's process. A MemoryMB or Sockets of 0 means no limit.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // CPU cores
-	MemoryMB int     `json:"memory_mb"` // memory in MiB
-	Sockets  int     `json:"sockets"`   // open file descriptors
+	Cores    float64 `json:"cores"`     // number of CPU cores that the process may use
+	MemoryMB int     `json:"memory_mb"` // memory that the process may use, in MiB
+	Sockets  int     `json:"sockets"`   // number of file descriptors that the process may have open
 }
 
 const (
@@ -25,14 +25,14 @@
 	// runtimeMemoryFraction is the fraction of the memory limit that the Go runtime may use. The rest is for the
 	// stacks of C code and for kernel buffers.
 	runtimeMemoryFraction = 0.7
-	// readAheadFraction is the fraction of the memory limit that read-ahead of requests may use on all connections.
+	// readAheadFraction is the fraction of the memory limit that read-ahead may use on all client connections together.
 	readAheadFraction = 1.0 / 32
-	// DefaultReadAheadBytes is the result of ReadAheadBytes, in bytes, if there is no memory limit.
+	// DefaultReadAheadBytes is the read-ahead budget of all client connections, in bytes, if there is no memory limit.
 	DefaultReadAheadBytes = 4 << 20
 )
 
-// DownstreamConnections returns the maximum number of open client connections. It is what UpstreamConnections leaves
-// of the file descriptors, as clients that send nothing hold connections too.
+// DownstreamConnections returns the maximum number of open client connections. Clients get all file descriptors that
+// are neither reserved nor counted by UpstreamConnections, because clients that send nothing hold connections too.
 func (l Limits) DownstreamConnections() int {
 	if l.Sockets <= 0 {
 		return unlimitedConnections
@@ -41,7 +41,7 @@
 }
 
 // UpstreamConnections returns the maximum number of open connections to endpoints. Clients send requests on at most a
-// third of the file descriptors, and a request needs one connection to an endpoint at a time.
+// third of the file descriptors, and each request needs one connection to an endpoint at a time.
 func (l Limits) UpstreamConnections() int {
 	if l.Sockets <= 0 {
 		return unlimitedConnections
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -8,9 +8,9 @@
 
 // The lifecycle states of an Instance.
 const (
-	LifecycleUp       = "up"
-	LifecycleDraining = "draining"
-	LifecycleRemoved  = "removed"
+	LifecycleUp       = "up"       // the instance takes requests
+	LifecycleDraining = "draining" // the instance takes no new requests after its drain grace
+	LifecycleRemoved  = "removed"  // the instance has left the endpoint list
 )
 
 // Catalog is one message of discovery: the whole endpoint list, or the entries that have changed.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,13 +21,13 @@
 	// dialTimeout is the longest time that opening a connection to discovery may take.
 	dialTimeout = time.Second
 
-	// fetchTimeout is the longest time that a fetch of the endpoint list may take. It leaves room for late responses:
-	// discovery itself gives up a call after 3 s.
+	// fetchTimeout is the longest time that a fetch of the endpoint list may take. Discovery itself gives up a call
+	// after 3 s, and the rest of the timeout leaves room for late responses.
 	fetchTimeout = 4 * time.Second
 
 	// WatchStallTimeout is the time without a heartbeat or a whole message after which a watch counts as stalled.
-	// Discovery sends a heartbeat, an empty line, every 2 s. A sidecar counts as notified of a change that a stalled
-	// watch missed after 6 s, and the next call takes part of this time.
+	// Discovery sends a heartbeat, an empty line, every 2 s. A sidecar counts as notified of a change after 6 s, even
+	// if its watch stalled and missed the change, and the call that replaces the watch takes a part of the 6 s.
 	WatchStallTimeout = 2500 * time.Millisecond
 
 	// maxMessageSize is the largest message of discovery that is accepted, in bytes.
@@ -82,9 +82,9 @@
 	return catalog, nil
 }
 
-// Watch calls handle with each message that is newer than afterGeneration. It returns when the watch ends, always
-// with an error. The response must begin within the timeout. From then on, the watch times out with ErrStalled only if
-// neither a heartbeat nor a whole message comes for WatchStallTimeout.
+// Watch calls handle with each message that is newer than afterGeneration. It returns when the watch ends, always with
+// an error. The response must begin within the timeout. After that, the watch fails with ErrStalled once neither a
+// heartbeat nor a whole message has arrived for WatchStallTimeout.
 func (c *Client) Watch(ctx context.Context, afterGeneration uint64, timeout time.Duration, handle func(Catalog)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -102,7 +102,7 @@
 	return fmt.Errorf("watch: %w", readMessages(ctx, reader, handle))
 }
 
-// readMessages calls handle with each message until there are no more, and returns the reason for the end.
+// readMessages calls handle with each message until the watch ends, and returns the error that ended the watch.
 func readMessages(ctx context.Context, reader *heartbeatReader, handle func(Catalog)) error {
 	reader.awaitMessage(nil)
 	for decoder := json.NewDecoder(reader); ; {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// A sidecar counts as notified after 6 s of changes that a stalled watch missed. Guards against a later detection and
-// replacement of a stalled watch, even if the call in between gets no response at all, or a response that begins and
-// then stalls too.
+// A sidecar counts as notified of a change after 6 s, even if its watch stalled and missed the change. A stalled watch
+// must be detected and replaced within that time, even if the call in between gets no response at all, or a response
+// that begins and then stalls too.
 func TestStalledWatchIsDetected(t *testing.T) {
 	if WatchStallTimeout <= 2*time.Second {
 		t.Errorf("a watch counts as stalled after %v, but heartbeats come every 2 s", WatchStallTimeout)
--- a/internal/discovery/heartbeat.go
+++ b/internal/discovery/heartbeat.go
@@ -6,8 +6,8 @@
 )
 
 // heartbeatReader reads the body of a watch. It calls onHeartbeat for data between messages (an empty line every 2 s)
-// and at the end of each message, which may have many lines. A part of a message is no sign of life, because the
-// message may never be completed.
+// and at the end of each message, which may have many lines. A part of a message does not count as a heartbeat, because
+// the message may never be completed.
 type heartbeatReader struct {
 	source      io.Reader
 	onHeartbeat func()
@@ -30,7 +30,8 @@
 	return n, err
 }
 
-// awaitMessage prepares for the next message, of which a part may have been read into a buffer already.
+// awaitMessage prepares for the next message and calls onHeartbeat. buffered holds what was already read after the end
+// of the previous message; nil means nothing.
 func (r *heartbeatReader) awaitMessage(buffered io.Reader) {
 	r.inMessage, r.remaining = false, maxMessageSize
 	if buffered != nil {
--- a/internal/downstream/head_recorder.go
+++ b/internal/downstream/head_recorder.go
@@ -60,8 +60,8 @@
 	return r.idle && (mode == drainAll || mode == drainReused && r.reused)
 }
 
-// SetReadDeadline sets the read deadline, except that a connection that drains keeps pastDeadline: net/http sets a
-// deadline each time it begins to wait for a request, which would otherwise replace pastDeadline.
+// SetReadDeadline sets the read deadline, except that a connection that drains keeps pastDeadline. Otherwise
+// pastDeadline would be replaced by the deadline that net/http sets each time it begins to wait for a request.
 func (r *headRecorder) SetReadDeadline(t time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,8 +107,8 @@
 	return -1
 }
 
-// handlerActive reports whether a handler runs or is about to run. It is to be called in a read of a single byte. At
-// that time an empty head means that the whole head arrived together with the previous request.
+// handlerActive reports whether a handler runs or is about to run. It must be called only during a read of a single
+// byte. An empty head then means that the whole head arrived together with the previous request.
 func (r *headRecorder) handlerActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -29,8 +29,8 @@
 	drainAll                     // ends all idle connections
 )
 
-// limitedListener limits the number of open connections of a listener, because file descriptors are needed elsewhere
-// too. Connections beyond the limit are answered with 503 and closed.
+// limitedListener limits the number of open connections of a listener, because connections to endpoints and to
+// discovery need file descriptors too. Connections beyond the limit are answered with 503 and closed.
 type limitedListener struct {
 	net.Listener
 	slots           chan struct{} // holds one value for each open connection
@@ -112,7 +112,7 @@
 // Closing a connection with unread bytes would reset it before the client has read the response.
 func rejectConnection(c net.Conn, linger time.Duration) {
 	defer c.Close()
-	c.SetWriteDeadline(time.Now().Add(rejectionTimeout)) // not reached: the kernel buffers so few bytes
+	c.SetWriteDeadline(time.Now().Add(rejectionTimeout)) // never expires: the kernel buffers so few bytes
 	c.SetReadDeadline(time.Now().Add(linger))
 	io.WriteString(c, rejectionResponse)
 	if t, ok := c.(*net.TCPConn); ok {
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -80,8 +80,8 @@
 	r.readAheadBudget.Add(-n)
 }
 
-// releaseReadAhead returns n bytes to the read-ahead budget, but no more than the connection still uses: Close may
-// release all of its bytes during a read.
+// releaseReadAhead returns n bytes to the read-ahead budget, or all bytes that the connection uses if they are fewer
+// than n. They can be fewer because Close may release all bytes of the connection during a read.
 func (r *headRecorder) releaseReadAhead(n int64) {
 	for {
 		used := r.readAheadUsed.Load()
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -17,7 +17,7 @@
 // A client's disconnect is noticed even if the client has sent bytes of a further request before. net/http alone stops
 // watching for a disconnect once it has received such a byte.
 func TestClientCancelAfterPipelinedRequest(t *testing.T) {
-	for name, further := range map[string]string{
+	for name, extraData := range map[string]string{
 		"one byte":        "G",
 		"partial request": idempotentRequest("u")[:70],
 		"whole request":   idempotentRequest("u"),
@@ -32,7 +32,7 @@
 			c, _ := h.connect()
 			io.WriteString(c, idempotentRequest("t"))
 			nettest.Receive(t, received)
-			io.WriteString(c, further)
+			io.WriteString(c, extraData)
 			c.Close()
 			nettest.Receive(t, stub.Disconnects)
 			if stats := h.stats(); stats.ClientsCanceled != 1 || stats.Requests != 1 {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -23,8 +23,8 @@
 
 // RequestError describes an invalid request and the status code of the response to it.
 type RequestError struct {
-	Status int
-	Err    error
+	Status int   // status code of the response
+	Err    error // why the request is invalid
 }
 
 func (e *RequestError) Error() string { return e.Err.Error() }
@@ -117,9 +117,9 @@
 	return nil
 }
 
-// parseFields reads the timeout, tenant, retry mark, work hint and affinity key of a request. A timeout is required:
-// if one had to be assumed, it would be the longest that is possible, and the balancer would compare the timeouts of
-// all later retries with it.
+// parseFields reads the timeout, tenant, retry mark, work hint and affinity key of a request. A timeout is required: a
+// default would have to be the longest possible timeout, and the balancer would compare the timeouts of all later
+// retries with that default.
 func (s *Server) parseFields(req *http.Request, parsed *sidecar.Request) (err error) {
 	if parsed.Timeout, err = headers.ParseTimeout(req.Header.Get(headers.Timeout)); err != nil {
 		return err
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,6 +1,6 @@
 // Package downstream is the HTTP server to which the application sends its requests. It limits the number of
 // connections, validates requests, rejects attempts at request smuggling and shuts down gracefully. Valid requests go
-// to the event loop of package sidecar, which decides everything else about them.
+// to the event loop of package sidecar, which makes all other decisions about them.
 package downstream
 
 import (
@@ -21,8 +21,8 @@
 	// to 0.4 s after SIGTERM.
 	acceptAfterShutdown = 600 * time.Millisecond
 	// maxDrainTimeout is the upper limit of the drain timeout, which is otherwise the longest deadline of any class.
-	// The drain timeout is how long requests may still run after the listener is closed. SIGKILL comes no earlier than
-	// 0.7 s plus the drain timeout after SIGTERM; the process ends a little earlier.
+	// The drain timeout is how long requests may still run after the listener is closed. SIGKILL follows SIGTERM after
+	// at least 0.7 s plus the drain timeout, and the process ends shortly before.
 	maxDrainTimeout = 3 * time.Second
 	// shutdownMargin is how long before the end of the drain timeout all accepted requests are answered.
 	shutdownMargin = 100 * time.Millisecond
@@ -43,12 +43,12 @@
 	writeTimeout = 10 * time.Second
 )
 
-// Server is an HTTP server that has the requests of clients served by an event loop.
+// Server is an HTTP server that passes the requests of clients to an event loop, which serves them.
 type Server struct {
 	loop            *sidecar.Loop
 	classes         map[string]int // positions of the classes in the settings, by name
 	httpServer      *http.Server
-	longestDeadline time.Duration // of all classes
+	longestDeadline time.Duration // the longest deadline of any class
 	drainTimeout    time.Duration // how long requests may still run after the listener is closed
 	bodyTimeout     time.Duration // limit on the time to read a request's body
 	draining        atomic.Bool
@@ -78,8 +78,8 @@
 	return s
 }
 
-// Serve accepts connections of ln and serves their requests until shutdownCtx ends. It then shuts down gracefully and returns
-// when all accepted requests are answered, or after the drain timeout.
+// Serve accepts connections of ln and serves their requests until shutdownCtx ends. It then shuts down gracefully and
+// returns when all accepted requests are answered, or after the drain timeout.
 func (s *Server) Serve(shutdownCtx context.Context, ln net.Listener) error {
 	limits := s.loop.Config().Limits
 	listener := newLimitedListener(ln, limits.DownstreamConnections(), limits.ReadAheadBytes())
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// UnknownSender is passed by Receive as the sender of a message from an address that belongs to no peer.
+	// UnknownSender is the sender index that Receive passes for a message from an address that belongs to no peer.
 	UnknownSender = -1
 
 	// maxDatagramSize is the largest gossip message that the protocol permits, in bytes.
@@ -35,7 +35,7 @@
 	indexByAddr map[netip.AddrPort]int // peer index by address
 }
 
-// Open opens the socket at the configured listen address. An error is that of the socket.
+// Open opens the socket at the configured listen address. The error says why the socket could not be opened.
 func Open(c config.Gossip) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(c.Listen))
 	if err != nil {
@@ -62,7 +62,7 @@
 	t.conn.WriteToUDPAddrPort(data, addr)
 }
 
-// address returns the address of a peer or of balance.AllPeers. The result is invalid for an unknown peer.
+// address returns the address of a peer or of balance.AllPeers. For an unknown peer it returns the zero AddrPort.
 func (t *Transport) address(peer int) netip.AddrPort {
 	switch {
 	case peer == balance.AllPeers:
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -11,12 +11,12 @@
 
 // The names of the header fields that the application, its sidecar and the endpoints exchange.
 const (
-	TraceID        = "X-Trace-Id"            // in a request: its unique ID
-	Class          = "X-Qos"                 // in a request: the name of its class
-	Tenant         = "X-Customer"            // in a request: the name of its tenant
-	Timeout        = "X-Expires-In"          // in a request: how long its sender waits, see ParseTimeout
-	IdempotencyKey = "Idempotency-Key"       // in a request: the key by which endpoints recognize a repetition of it
-	Retry          = "X-Second-Try"          // in a request: 1 if the client has sent it before
+	TraceID        = "X-Trace-Id"            // in a request: the unique ID of the request
+	Class          = "X-Qos"                 // in a request: the name of the request's class
+	Tenant         = "X-Customer"            // in a request: the name of the request's tenant
+	Timeout        = "X-Expires-In"          // in a request: how long the sender waits for a response, see ParseTimeout
+	IdempotencyKey = "Idempotency-Key"       // in a request: the key by which endpoints recognize a repeated request
+	Retry          = "X-Second-Try"          // in a request: 1 if the client has sent the same request before
 	WorkHint       = "X-Size-Hint"           // in a request: the work that the client expects, in microseconds
 	NotExecuted    = "X-Never-Ran"           // in a response: 1 if the endpoint did not execute the request
 	LoadReport     = "Endpoint-Load-Metrics" // in a response: the endpoint's load report, see ParseLoadReport
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -132,9 +132,11 @@
 	"fail_rate": balance.FieldErrorRate,
 }
 
-// subscribeNames maps the values of "discovery" to whether the endpoint list must be polled for or watched.
+// subscribeNames maps the values of "discovery" to balance.Config.Subscribe: whether the balancer must poll or watch
+// the endpoint list.
 var subscribeNames = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
+// parseDocument parses the settings object without checking its values.
 func parseDocument(raw []byte) (d document, err error) {
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return d, fmt.Errorf("settings: %w", err)
@@ -166,6 +168,7 @@
 	return cfg, d.applyClasses(&cfg)
 }
 
+// apply sets the fields of the balancer's configuration that the limits define.
 func (l *limitsDocument) apply(cfg *balance.Config) {
 	cfg.MaxAttempts = orDefault(l.MaxAttempts, 1)
 	cfg.Hedging = l.Hedging
@@ -177,6 +180,7 @@
 	cfg.ConnectTimeout = l.ConnectTimeout
 }
 
+// apply sets the fields of the balancer's configuration that the rules define.
 func (r *rulesDocument) apply(cfg *balance.Config) {
 	cfg.DrainGrace = r.DrainGrace
 	cfg.SlowStartFraction = orDefault(r.SlowStartFraction, 1)
@@ -202,6 +206,7 @@
 	return nil
 }
 
+// applyClasses sets the classes of requests. It returns an error if there is none or one has an invalid value.
 func (d *document) applyClasses(cfg *balance.Config) error {
 	if len(d.Classes) == 0 {
 		return ErrNoClasses
@@ -216,6 +221,7 @@
 	return nil
 }
 
+// balancerClass converts a class and sets defaults for omitted values. It returns an error for an invalid value.
 func (c *classDocument) balancerClass() (balance.Class, error) {
 	idempotency, known := idempotencyNames[c.Idempotency]
 	if !known {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,6 +39,7 @@
 
 var errInvalidValue = errors.New("invalid value")
 
+// invalidValue returns a FieldError for a value of a field that is not allowed.
 func invalidValue(field string, value any) error {
 	return &FieldError{Field: field, Err: fmt.Errorf("%w: %v", errInvalidValue, value)}
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -29,8 +29,8 @@
 	released        chan struct{} // closed once the attempt uses no connection: closed, idle again or never opened
 }
 
-// startAttempt adds an attempt to its request and carries it out in a goroutine of its own. An attempt that cannot
-// start ends as not sent.
+// startAttempt adds an attempt to its request and carries it out in a separate goroutine. An attempt that cannot start
+// ends with the result balance.NotSent.
 func (d *dispatcher) startAttempt(action *balance.Action) {
 	r := d.requests[action.Request]
 	if r == nil {
@@ -110,7 +110,7 @@
 	}
 	a.ended = true
 	a.cancel()
-	if response.Result == balance.TimedOut && a.upstreamAttempt.ClaimStart() { // it was never sent
+	if response.Result == balance.TimedOut && a.upstreamAttempt.ClaimStart() { // the request was never sent
 		response = upstream.Response{Result: balance.ConnectFailed, Err: errConnectTimeout}
 	}
 	r := a.request
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -38,8 +38,8 @@
 	endpoints         map[balance.EndpointID]*endpoint // the endpoint table: all listed endpoints
 	zones             []string                         // zone names, indexed by balance.Endpoint.Zone
 	machineTypes      []string                         // machine type names, indexed by balance.Endpoint.MachineType
-	generation        uint64                           // endpoint list generation; 0: a watch gets a snapshot
-	cancelWatch       context.CancelFunc               // ends the open watch; nil before the first one
+	generation        uint64                           // generation of the endpoint list; 0 asks for a snapshot
+	cancelWatch       context.CancelFunc               // ends the open watch; nil before the first watch
 	postponed         []func()                         // functions to run after the actions of the current event
 	stats             Stats
 	failedSinceStatus int // failed attempts since the last status line
--- a/internal/sidecar/endpoint.go
+++ b/internal/sidecar/endpoint.go
@@ -93,8 +93,8 @@
 }
 
 // indexOrAppend returns the position of a name in names, to which it appends a missing name. Each zone or machine type
-// that the settings do not list gets a position of its own. Two unknown zones must not count as one, since an
-// idempotency key may be known in a single zone only.
+// that the settings do not list gets a separate position. Two unknown zones must not count as one, since an idempotency
+// key may be known in a single zone only.
 func indexOrAppend(names *[]string, name string) int {
 	i := slices.Index(*names, name)
 	if i < 0 {
@@ -104,7 +104,7 @@
 	return i
 }
 
-// healthCheck checks an endpoint in a goroutine of its own and passes the result to the balancer. It requests a load
+// healthCheck checks an endpoint in a separate goroutine and passes the result to the balancer. It requests a load
 // report if the settings say that endpoints provide load reports, and sends a ping otherwise.
 func (d *dispatcher) healthCheck(id balance.EndpointID) {
 	e := d.endpoints[id]
--- a/internal/sidecar/endpoint_test.go
+++ b/internal/sidecar/endpoint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Zones and machine types that the settings do not name get positions of their own, distinct from each other and from
-// the configured ones.
+// Zones and machine types that the settings do not name get separate positions, distinct from each other and from the
+// configured ones.
 func TestUnknownZoneAndMachineTypeNames(t *testing.T) {
 	names := []string{"a", "b"}
 	for i, test := range []struct {
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -196,10 +196,10 @@
 	}
 }
 
-// inBubble runs a test in virtual time, on one processor. With more than one the race detector of Go 1.26 crashes: the
-// timers of a bubble share one race context, and a select on a timer's channel may run such a timer
-// (runtime.maybeRunChan) while the bubble's root goroutine runs others.
-func inBubble(t *testing.T, test func(t *testing.T)) {
+// runInBubble runs a test in virtual time (in a bubble of package synctest), on one processor. With more than one
+// processor the race detector of Go 1.26 crashes: the timers of a bubble share one race context, and a select on a
+// timer's channel may run such a timer (runtime.maybeRunChan) while the bubble's root goroutine runs others.
+func runInBubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	processors := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(processors)
@@ -207,12 +207,13 @@
 }
 
 // However long an outage of discovery lasts and whatever discovery does with calls meanwhile, all 300 sidecars are
-// notified of the changes within 6 s of its end, although discovery serves their calls one after the other.
+// notified of the changes within 6 s of the end of the outage, although discovery serves their calls one after the
+// other.
 func TestFleetReceivesCatalogSoonAfterDiscoveryRecovers(t *testing.T) {
 	for _, outage := range []outageKind{refusesConnections, closesConnections, neverResponds, sendsHeadersOnly} {
 		for _, duration := range []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("%s for %v", outage, duration), func(t *testing.T) {
-				inBubble(t, func(t *testing.T) {
+				runInBubble(t, func(t *testing.T) {
 					testFleetAfterOutage(t, outage, duration)
 				})
 			})
@@ -222,10 +223,10 @@
 
 func testFleetAfterOutage(t *testing.T, outage outageKind, duration time.Duration) {
 	t.Helper()
-	up := nettest.CatalogJSON(1, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "up"))
-	draining := nettest.CatalogJSON(2, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "draining"))
+	upCatalog := nettest.CatalogJSON(1, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "up"))
+	drainingCatalog := nettest.CatalogJSON(2, true, nettest.InstanceJSON("s-0", "127.0.0.1:1", "draining"))
 	d := &fleetDiscovery{responseDelay: 100 * time.Millisecond}
-	d.setState(noOutage, up)
+	d.setState(noOutage, upCatalog)
 	_, stop := d.startFleet(t, nettest.CachedCatalogJSON("127.0.0.1:1"))
 	defer stop()
 	time.Sleep(20 * time.Second)
@@ -234,7 +235,7 @@
 	}
 	d.setState(outage, "")
 	time.Sleep(duration)
-	d.setState(noOutage, draining)
+	d.setState(noOutage, drainingCatalog)
 	recoveredAt := time.Now()
 	time.Sleep(30 * time.Second)
 	n, last := d.notified()
@@ -260,7 +261,7 @@
 				behavior = "is overloaded"
 			}
 			t.Run(fmt.Sprintf("discovery %s, the cache holds %s", behavior, cached), func(t *testing.T) {
-				inBubble(t, func(t *testing.T) {
+				runInBubble(t, func(t *testing.T) {
 					testFleetBecomesReady(t, outage, cachedCatalog)
 				})
 			})
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -77,8 +77,8 @@
 // A gossip message reaches the balancer of a peer, which accepts it as its sender's. A message of an unknown sender and
 // one that is too long are counted as dropped.
 func TestGossipReachesPeers(t *testing.T) {
-	third := listenUDP(t)
-	addrs := []string{freeUDPAddress(t), freeUDPAddress(t), third.LocalAddr().String()}
+	thirdSocket := listenUDP(t)
+	addrs := []string{freeUDPAddress(t), freeUDPAddress(t), thirdSocket.LocalAddr().String()}
 	first := runGossipLoop(t, gossipConfig(t, 0, true, addrs...))
 	second := runGossipLoop(t, gossipConfig(t, 1, true, addrs...))
 	message := make([]byte, 9)
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	third.WriteTo(make([]byte, 400), firstAddr) // the sender is known, but the message is too long
+	thirdSocket.WriteTo(make([]byte, 400), firstAddr) // the sender is known, but the message is too long
 	nettest.Eventually(t, "the long message is dropped", func() bool {
 		return balancerStats(first).GossipDropped == 2
 	})
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -1,6 +1,6 @@
 // Package sidecar runs the balancer in real time and over real connections. A single goroutine, the event loop, owns
 // the balancer, the tables of requests and endpoints, and the timers. Attempts, health checks and calls to discovery
-// run in goroutines of their own, which queue functions for the event loop to run.
+// run in separate goroutines, which queue functions for the event loop to run.
 package sidecar
 
 import (
@@ -18,8 +18,8 @@
 
 const (
 	// readinessTimeout is how long after its start a sidecar reports that it is ready although it knows no ready
-	// endpoint. It then rejects requests at once with Retry-After, since discovery may be unavailable for long. A
-	// process has to be ready within 10 s.
+	// endpoint. The sidecar then rejects requests at once with Retry-After, since discovery may be unavailable for
+	// long. A process has to be ready within 10 s.
 	readinessTimeout = 5 * time.Second
 	// queueSize is how many functions can wait for the event loop before enqueue blocks.
 	queueSize = 1024
@@ -34,7 +34,7 @@
 	queue   chan func(*dispatcher)
 	ended   chan struct{}  // closed when the loop takes no more functions from the queue
 	workers sync.WaitGroup // goroutines that add their results to the queue
-	ready   atomic.Bool    // the sidecar is ready for requests
+	ready   atomic.Bool    // whether the sidecar is ready for requests
 
 	// connectionStats returns the counts of clients' connections; nil until SetConnectionStats is called.
 	connectionStats atomic.Pointer[func() ConnectionStats]
@@ -56,7 +56,7 @@
 }
 
 // OpenGossip opens the UDP socket for gossip between sidecars, if the settings allow gossip and the configuration has
-// an address to listen on. It must be called before Run. The error is that of the socket.
+// an address to listen on. It must be called before Run. The error says why the socket could not be opened.
 func (l *Loop) OpenGossip() (err error) {
 	if !l.config.Settings.Balancer.Gossip || !l.config.Gossip.Listen.IsValid() {
 		return nil
@@ -72,7 +72,7 @@
 // Clock returns the clock of the loop.
 func (l *Loop) Clock() clock.Clock { return l.clock }
 
-// Config returns the configuration that the loop was created with. It does not change.
+// Config returns the configuration that the loop was created with. The configuration does not change.
 func (l *Loop) Config() *config.Config { return l.config }
 
 // Run runs the loop until ctx ends, and returns when all goroutines that the loop started have ended.
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -15,7 +15,7 @@
 	responseMargin = 4.0
 	// responseMarginDivisor limits the response margin to a tenth of the client's timeout.
 	responseMarginDivisor = 10
-	// minBalancerTimeout, in ms, is the least timeout that is passed to the balancer for a request. It keeps the
+	// minBalancerTimeout, in ms, is the smallest timeout that is passed to the balancer for a request. It keeps the
 	// timeout positive when a request gets to the event loop late.
 	minBalancerTimeout = 1e-3
 )
@@ -58,7 +58,7 @@
 	idempotency balance.Idempotency
 	dedupWindow float64       // ms for which endpoints remember the idempotency key
 	deadline    float64       // clock time in ms at which the response is due
-	response    chan Response // has room for the one response
+	response    chan Response // receives the one response; buffered
 	closed      bool          // the response was sent, or the client has disconnected
 	attempts    []*attempt
 	inFlight    int // attempts that have not ended
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -67,7 +67,7 @@
 	if d.stats.Requests == 0 {
 		return
 	}
-	balancerCounts, stats, poolStats := d.balancer.Stats(), &d.stats, d.pool.Stats()
+	lb, stats, poolStats := d.balancer.Stats(), &d.stats, d.pool.Stats()
 	d.log.Info("status",
 		"requests", stats.Requests,
 		"open", len(d.requests),
@@ -77,18 +77,18 @@
 			"failed", stats.Responses[balance.ServerError],
 			"canceled", stats.ClientsCanceled),
 		slog.Group("unserved",
-			"past_objective", balancerCounts.PastObjective,
-			"shed", balancerCounts.Shed,
-			"retries_exhausted", balancerCounts.RetriesExhausted,
-			"not_sent", balancerCounts.NotSent),
+			"past_objective", lb.PastObjective,
+			"shed", lb.Shed,
+			"retries_exhausted", lb.RetriesExhausted,
+			"not_sent", lb.NotSent),
 		slog.Group("attempts", stats.attemptCounts()...),
 		slog.Group("load",
-			"base_shed_fraction", balancerCounts.BaseShedFraction,
-			"overload", balancerCounts.Overload,
-			"baseline_latency", balancerCounts.BaselineLatency,
-			"short_term_latency", balancerCounts.ShortTermLatency,
-			"concurrency_limit", balancerCounts.ConcurrencyLimit),
-		slog.Group("endpoints", "listed", len(d.endpoints), "ejected", balancerCounts.Ejected, "warming_up", balancerCounts.WarmingUp),
+			"base_shed_fraction", lb.BaseShedFraction,
+			"overload", lb.Overload,
+			"baseline_latency", lb.BaselineLatency,
+			"short_term_latency", lb.ShortTermLatency,
+			"concurrency_limit", lb.ConcurrencyLimit),
+		slog.Group("endpoints", "listed", len(d.endpoints), "ejected", lb.Ejected, "warming_up", lb.WarmingUp),
 		slog.Group("discovery",
 			"calls", stats.DiscoveryCalls,
 			"failed", stats.DiscoveryFailures,
@@ -96,7 +96,7 @@
 			"generation", d.generation),
 		slog.Group("connections", "open", poolStats.Open, "dials", poolStats.Dials, "reuses", poolStats.Reuses),
 		slog.Group("clients", d.clientConnectionCounts()...),
-		slog.Group("gossip", "received", balancerCounts.GossipReceived, "dropped", balancerCounts.GossipDropped))
+		slog.Group("gossip", "received", lb.GossipReceived, "dropped", lb.GossipDropped))
 }
 
 // attemptCounts returns the number of attempts by result as log attributes. It omits results without attempts.
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -88,7 +88,7 @@
 }
 
 // SetDiscovery changes the address of discovery while the loop runs. An open watch, or one that is about to be opened,
-// is replaced at once by a watch at the new address, since the old address closes soon.
+// is replaced at once by a watch at the new address, since discovery soon stops responding at the old address.
 func (l *Loop) SetDiscovery(addr string) {
 	l.enqueue(func(d *dispatcher) {
 		d.discovery = discovery.NewClient(addr)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -31,7 +31,7 @@
 const (
 	frameHeaderSize = 16      // size in bytes of a frame's header: record count, frame length, clock
 	tableEntrySize  = 23      // size in bytes of one endpoint in an endpoint table
-	maxFrameSize    = 1 << 28 // largest valid frame in bytes, far above the simulator's largest batch
+	maxFrameSize    = 1 << 28 // largest valid frame in bytes, far above the largest that the simulator sends
 	maxTables       = 16      // number of endpoint tables that can exist; their numbers start from 0
 )
 
@@ -45,7 +45,7 @@
 // lifecycleCodes maps the lifecycle codes of endpoint tables to lifecycles.
 var lifecycleCodes = map[uint8]balance.Lifecycle{0: balance.Ready, 1: balance.Removed, 2: balance.Draining}
 
-// updateCodes maps the list codes of endpoint updates to update kinds.
+// updateCodes maps the codes of endpoint updates to update kinds.
 var updateCodes = map[uint8]balance.UpdateKind{
 	0: balance.Snapshot, 1: balance.CachedSnapshot, 2: balance.WatchFailed, 3: balance.Delta,
 }
@@ -155,8 +155,8 @@
 	return Record{Instance: instance, Event: event}, nil
 }
 
-// readEvent decodes the part of a record that depends on its event code. For an endpoint table, whose record has the table
-// number in place of the instance, it stores the table and returns nil.
+// readEvent decodes the part of a record that depends on its event code. For an endpoint table, whose record has the
+// table number in place of the instance, it stores the table and returns nil.
 func (r *Reader) readEvent(code, instance uint16, f *recordReader) (any, error) {
 	switch code {
 	case codeEndpointTable:
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -26,7 +26,7 @@
 
 const (
 	allPeersCode   = 0xffffffff // peer index in a gossip action that stands for all other sidecars
-	maxTextSize    = 0xffff     // largest size in bytes of a text or gossip message; the rest is cut off
+	maxTextSize    = 0xffff     // largest size in bytes of a text or gossip message; a longer one is truncated
 	watchModeDelta = 1          // watch mode in which discovery sends changes instead of whole lists
 )
 
@@ -49,81 +49,81 @@
 // Add appends the actions of one instance.
 func (r *Reply) Add(instance uint16, actions []balance.Action) {
 	for i := range actions {
-		r.add(instance, &actions[i])
+		r.appendAction(instance, &actions[i])
 	}
 }
 
-// Fault appends a report that an instance failed, with a text that says why.
+// AddFault appends the report that an instance failed. The text says why.
 func (r *Reply) AddFault(instance uint16, text string) {
-	r.header(codeFault, instance)
-	r.text([]byte(text))
+	r.appendHeader(codeFault, instance)
+	r.appendText([]byte(text))
 }
 
-// add appends one action of an instance.
-func (r *Reply) add(instance uint16, a *balance.Action) {
+// appendAction appends one action of an instance.
+func (r *Reply) appendAction(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.StartAttempt:
-		r.header(codeStartAttempt, instance)
-		r.u64(uint64(a.Request))
-		r.f64(a.Deadline)
-		r.endpointID(a.Endpoint)
+		r.appendHeader(codeStartAttempt, instance)
+		r.appendUint64(uint64(a.Request))
+		r.appendFloat64(a.Deadline)
+		r.appendEndpointID(a.Endpoint)
 	case balance.Reject:
-		r.header(codeReject, instance)
-		r.u64(uint64(a.Request))
-		r.f64(a.Delay)
+		r.appendHeader(codeReject, instance)
+		r.appendUint64(uint64(a.Request))
+		r.appendFloat64(a.Delay)
 	case balance.Fail:
-		r.header(codeFail, instance)
-		r.u64(uint64(a.Request))
+		r.appendHeader(codeFail, instance)
+		r.appendUint64(uint64(a.Request))
 	case balance.CancelAttempt:
-		r.header(codeCancelAttempt, instance)
-		r.u64(uint64(a.Request))
+		r.appendHeader(codeCancelAttempt, instance)
+		r.appendUint64(uint64(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
 	case balance.SetTimer:
-		r.header(codeSetTimer, instance)
-		r.u64(a.Token)
-		r.f64(a.Delay)
+		r.appendHeader(codeSetTimer, instance)
+		r.appendUint64(a.Token)
+		r.appendFloat64(a.Delay)
 	case balance.HealthCheck:
-		r.header(codeHealthCheck, instance)
-		r.endpointID(a.Endpoint)
+		r.appendHeader(codeHealthCheck, instance)
+		r.appendEndpointID(a.Endpoint)
 	case balance.CloseIdle:
-		r.header(codeCloseIdle, instance)
-		r.endpointID(a.Endpoint)
+		r.appendHeader(codeCloseIdle, instance)
+		r.appendEndpointID(a.Endpoint)
 	case balance.SendGossip:
-		r.header(codeSendGossip, instance)
+		r.appendHeader(codeSendGossip, instance)
 		peer := uint32(allPeersCode)
 		if a.Peer != balance.AllPeers {
 			peer = uint32(a.Peer)
 		}
 		r.buf = binary.BigEndian.AppendUint32(r.buf, peer)
-		r.text(a.Data)
+		r.appendText(a.Data)
 	case balance.Log:
-		r.header(codeLog, instance)
-		r.text([]byte(a.Text))
+		r.appendHeader(codeLog, instance)
+		r.appendText([]byte(a.Text))
 	case balance.Watch:
-		r.header(codeWatch, instance)
+		r.appendHeader(codeWatch, instance)
 		r.buf = append(r.buf, watchModeDelta)
 	case balance.Fetch:
-		r.header(codeFetch, instance)
+		r.appendHeader(codeFetch, instance)
 	}
 }
 
-// header appends the action code and the instance, with which each action begins.
-func (r *Reply) header(code, instance uint16) {
+// appendHeader appends the action code and the instance, with which each action begins.
+func (r *Reply) appendHeader(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
 }
 
-func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
-func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
+func (r *Reply) appendUint64(v uint64)   { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
+func (r *Reply) appendFloat64(v float64) { r.appendUint64(math.Float64bits(v)) }
 
-// endpointID appends an endpoint's ID as four bytes of address and two bytes of port.
-func (r *Reply) endpointID(id balance.EndpointID) {
+// appendEndpointID appends an endpoint's ID as four bytes of address and two bytes of port.
+func (r *Reply) appendEndpointID(id balance.EndpointID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
-// text appends a length of two bytes and the text, which is cut off after maxTextSize bytes.
-func (r *Reply) text(b []byte) {
+// appendText appends a length of two bytes and the text, which is truncated to maxTextSize bytes.
+func (r *Reply) appendText(b []byte) {
 	if len(b) > maxTextSize {
 		b = b[:maxTextSize]
 	}
--- a/internal/upstream/acquire.go
+++ b/internal/upstream/acquire.go
@@ -93,8 +93,8 @@
 	return oldest
 }
 
-// closeIfCurrent closes a connection unless it no longer carries the given round trip: if the response has just
-// arrived, the connection may already carry another round trip.
+// closeIfCurrent closes a connection if it still carries the given round trip. If the response has just arrived, the
+// connection may be idle or already carry another round trip.
 func (p *Pool) closeIfCurrent(c *conn, rt *roundTrip) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -29,11 +29,11 @@
 	addr      string // the address that was dialed; the endpoint's address may change later
 	reader    *bufio.Reader
 	limited   *limitedReader // the source of reader, which bounds the size of a response
-	idleSince time.Time      // the end of the last round trip; zero before that
+	idleSince time.Time      // the end of the last round trip; zero before the first one
 
-	// Guarded by Pool.mu.
+	// The following fields are guarded by Pool.mu.
 	roundTrip *roundTrip // the current round trip; nil if the connection is idle
-	counted   bool       // Pool.open includes this connection
+	counted   bool       // whether Pool.open includes this connection
 }
 
 func newConn(nc net.Conn, e *Endpoint, addr string, rt *roundTrip) *conn {
@@ -49,7 +49,7 @@
 type roundTrip struct {
 	method         string
 	connectionIdle time.Duration // how long the connection had been idle before; 0 for a new connection
-	writeStarted   atomic.Bool   // the first byte of the request may have been sent
+	writeStarted   atomic.Bool   // whether the first byte of the request may have been sent
 	writeEnded     chan struct{} // closed when the write of the request has ended
 	result         chan Response // receives the one result; buffered
 }
@@ -119,14 +119,14 @@
 	closeConnection                 // close the connection and end the goroutine
 )
 
-// nextReadStep decides how to go on after the first byte or a read error has arrived on a connection. It returns the
-// current round trip, which is nil if the connection is idle, and records for the keep-alive estimator whether a
-// reused connection still worked.
+// nextReadStep decides how the reader goroutine continues after the first byte or a read error has arrived on a
+// connection. It returns the current round trip, which is nil if the connection is idle, and records for the keep-alive
+// estimator whether a reused connection still worked.
 func (p *Pool) nextReadStep(c *conn, err error) (*roundTrip, readStep) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	rt := c.roundTrip
-	if rt != nil && errors.Is(err, os.ErrDeadlineExceeded) { // idle timeout just as the connection was acquired
+	if rt != nil && errors.Is(err, os.ErrDeadlineExceeded) { // the idle timeout expired as the connection was acquired
 		return rt, retryRead
 	}
 	if rt == nil || err != nil || !rt.writeStarted.Load() {
--- a/internal/upstream/do_test.go
+++ b/internal/upstream/do_test.go
@@ -120,7 +120,7 @@
 	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
 }
 
-// A health check is a request of its own to the given path. Its load report comes in the body or in a header field.
+// A health check is a separate request to the given path. Its load report is read from a header field or from the body.
 func TestHealthCheck(t *testing.T) {
 	paths := make(chan string, 1)
 	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -12,7 +12,7 @@
 	// (math.Float64bits) of a time of Options.Clock in ms. It is 0 while the endpoint takes requests.
 	unavailableSince atomic.Uint64
 
-	// Guarded by Pool.mu.
+	// The following fields are guarded by Pool.mu.
 	addr      string
 	idle      []*conn // in the order of idleSince, the most recently used last
 	keepAlive keepAliveEstimator
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,7 +30,7 @@
 	MaxConnections  int           // limit on open connections to all endpoints together
 	ConnectTimeout  time.Duration // limit on the time to establish a connection; 0 for a default
 	ConnIdleTimeout time.Duration // time after which endpoints close idle connections; 0 for a default
-	DrainGrace      float64       // ms after an endpoint became unavailable in which it still takes requests
+	DrainGrace      float64       // how long an unavailable endpoint still takes requests, in ms
 	ReportFields    []string      // names of the values in Response.LoadReport, in order
 
 	// Control is called for each new socket before it connects, like net.Dialer.Control. It may be nil.
@@ -41,11 +41,11 @@
 type Pool struct {
 	options     Options
 	dialer      net.Dialer
-	idleTimeout time.Duration // after which the pool closes an idle connection
-	quietPeriod time.Duration // in which a connection is not reused after a response
+	idleTimeout time.Duration // time after which the pool closes an idle connection
+	quietPeriod time.Duration // time after a response in which a connection is not reused
 
 	mu            sync.Mutex
-	open          int                    // open connections, with those that are being established
+	open          int                    // open connections, including those that are being established
 	idleEndpoints map[*Endpoint]struct{} // endpoints that have idle connections
 	dials         int                    // see Stats.Dials
 	reuses        int                    // see Stats.Reuses
@@ -70,7 +70,7 @@
 
 // Stats holds counts of the connections to all endpoints.
 type Stats struct {
-	Open   int // connections that are open now, with those that are being established
+	Open   int // connections that are open now, including those that are being established
 	Dials  int // attempts since the start for which no idle connection could be reused
 	Reuses int // attempts since the start that reused an idle connection
 }
