--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -99,8 +99,8 @@
 	return cmd.Wait()
 }
 
-// SIGTERM ends the sidecar cleanly while no endpoint is known, even if it is sent twice or comes with SIGHUP before and
-// after it.
+// SIGTERM ends the sidecar with exit status 0 while no endpoint is known, even if SIGTERM is sent twice or SIGHUP is
+// sent before and after it.
 func TestSIGTERM(t *testing.T) {
 	addr, _ := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -185,7 +185,7 @@
 }
 
 // While discovery is down, idle clients use up all file descriptors that the sidecar has for clients, and reconnect as
-// soon as they are rejected or closed. The sidecar can still answer health checks, call discovery when it is up again,
+// soon as their connections are rejected or closed. The sidecar can still answer health checks, call discovery when it is up again,
 // connect to endpoints and serve requests.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	// The test needs two free addresses. Its clients connect from another address, so they do not take these
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 
 // Config holds the content of the configuration file.
 type Config struct {
-	Name          string
+	Name          string // name of the sidecar
 	Listen        string // address (host:port) to which clients connect
 	Discovery     string // address (host:port) of discovery
 	Limits        Limits
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -15,20 +15,20 @@
 
 // Catalog is one message of discovery: the whole endpoint list, or the entries that have changed.
 type Catalog struct {
-	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // Instances is the whole list
+	Generation uint64     `json:"generation"` // generation of the endpoint list after this message
+	Reset      bool       `json:"reset"`      // whether Instances is the whole endpoint list
 	Instances  []Instance `json:"instances"`
 }
 
 // Instance is one entry of a Catalog.
 type Instance struct {
 	ID          string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"`
+	HostPort    string  `json:"hostPort"` // address (host:port); may be empty for a removed instance
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
-	Weight      float64 `json:"weight"`
+	Weight      float64 `json:"weight"`      // becomes balance.Endpoint.NominalCapacity
 	StartedAt   float64 `json:"startedAtMs"` // Unix time in milliseconds; 0 means long ago
 }
 
--- a/internal/downstream/handler_test.go
+++ b/internal/downstream/handler_test.go
@@ -54,7 +54,7 @@
 	}
 	close(stub.release)
 	if resp, _ := h.readResponse(reader); resp.StatusCode != 200 || stub.Requests.Load() != 1 {
-		t.Errorf("first: status %d, want 200; %d requests were forwarded, want 1", resp.StatusCode, stub.Requests.Load())
+		t.Errorf("first: status %d, want 200; %d requests forwarded, want 1", resp.StatusCode, stub.Requests.Load())
 	}
 }
 
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -163,14 +163,14 @@
 	return heads
 }
 
-// maxHeldRequests is how many requests a holdingStub reports without being waited for.
+// maxHeldRequests is how many held requests a holdingStub can report before the test receives any of the reports.
 const maxHeldRequests = 10
 
 // holdingStub is an endpoint that holds requests before it answers them.
 type holdingStub struct {
 	*nettest.StubServer
-	received chan struct{} // one for each request that is held
-	release  chan struct{} // one for each request to answer, or closed for all
+	received chan struct{} // receives a value for each request that is held
+	release  chan struct{} // takes a value for each request to answer; closed to answer all
 }
 
 // newHoldingStub returns a stub that holds the requests with the given trace ID, or all requests if traceID is empty.
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -14,7 +14,7 @@
 
 const (
 	// rejectionTimeout limits the write of a rejectionResponse, and separately the wait for the client to close its
-	// connection after that.
+	// connection after the response.
 	rejectionTimeout = 500 * time.Millisecond
 	// rejectionResponse is the HTTP response on a connection that exceeds the connection limit.
 	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -23,7 +23,7 @@
 //
 // While a handler runs, net/http detects a disconnect of the client by reading one byte, and stops doing so once it
 // has received a byte of a further request. Therefore such a read returns no data: what arrives is read ahead until
-// the client disconnects or the handler is done, upon which net/http sets a read deadline.
+// the client disconnects or the handler is done; net/http then sets a read deadline.
 func (r *headRecorder) readOrReadAhead(p []byte) (int, error) {
 	if len(p) > 1 || !r.handlerActive() {
 		if n := r.consumeReadAhead(p); n > 0 {
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -14,8 +14,8 @@
 	"pebblelift/internal/upstream"
 )
 
-// A client's disconnect is noticed even if the client has sent bytes of a further request before. net/http alone stops
-// watching for a disconnect once it has received such a byte.
+// A client's disconnect is noticed even if the client has already sent bytes of a further request. net/http by itself
+// stops watching for a disconnect once it has received such a byte.
 func TestClientCancelAfterPipelinedRequest(t *testing.T) {
 	for name, extraData := range map[string]string{
 		"one byte":        "G",
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -64,7 +64,7 @@
 	nettest.Eventually(t, "all slots are free", func() bool { return len(h.server.listener.Load().slots) == 0 })
 }
 
-// Pipelined requests that arrived together are all answered, even if the shutdown begins meanwhile.
+// Pipelined requests that arrived together are all answered, even if the shutdown begins before the last response.
 func TestShutdownWithPipelinedRequests(t *testing.T) {
 	stub := newHoldingStub(t, "")
 	h := newHarnessWithEndpoints(t, stub.Addr)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -69,7 +69,7 @@
 	RetryAfter      bool    `json:"retry_after"`
 }
 
-// rulesDocument holds the time limits and the behavior of endpoints that warm up.
+// rulesDocument holds time limits and the rules for slow start, draining and overload.
 type rulesDocument struct {
 	ResponseSlack     float64  `json:"answer_slack_ms"`
 	PollInterval      float64  `json:"ask_within_ms"`
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -55,7 +55,7 @@
 }
 
 // An attempt whose connection is never established has not been executed, even if its deadline passes before the
-// connect timeout. So the request is rejected and the client can retry it.
+// connect timeout. So the request is rejected, and the client can retry the request.
 func TestConnectTimeoutIsNotExecuted(t *testing.T) {
 	h := newHarnessWithEndpoints(t, blackholeAddress(t))
 	if resp := h.do(nonIdempotentRequest("t").withTimeout(50)); resp.Result != balance.Rejected {
@@ -181,6 +181,6 @@
 	}
 	first, second := nettest.Receive(t, timeouts), nettest.Receive(t, timeouts)
 	if first > 9000 || second > first-float64(failureDelay/time.Millisecond) || second < 1 {
-		t.Errorf("forwarded timeouts %v ms, then %v ms, want the second at least %v shorter", first, second, failureDelay)
+		t.Errorf("forwarded timeouts %v and %v ms, want the second at least %v shorter", first, second, failureDelay)
 	}
 }
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -84,7 +84,7 @@
 }
 
 // handle passes an event to the balancer and executes the resulting actions, then the functions that were postponed
-// meanwhile. It returns the balancer's error if the event is invalid.
+// during the event. It returns the balancer's error if the event is invalid.
 func (d *dispatcher) handle(event balance.Event) error {
 	actions, err := d.balancer.Handle(d.clock.Now(), event)
 	if err != nil {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -31,10 +31,10 @@
 type Loop struct {
 	clock   clock.Clock
 	config  *config.Config
-	queue   chan func(*dispatcher)
-	ended   chan struct{}  // closed when the loop takes no more functions from the queue
-	workers sync.WaitGroup // goroutines that add their results to the queue
-	ready   atomic.Bool    // whether the sidecar is ready for requests
+	queue   chan func(*dispatcher) // functions that wait to run on the loop's goroutine
+	ended   chan struct{}          // closed when the loop takes no more functions from the queue
+	workers sync.WaitGroup         // goroutines that add their results to the queue
+	ready   atomic.Bool            // whether the sidecar is ready for requests
 
 	// connectionStats returns the counts of clients' connections; nil until SetConnectionStats is called.
 	connectionStats atomic.Pointer[func() ConnectionStats]
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -29,7 +29,8 @@
 }
 
 // A connection that is acquired at the very moment of its idle timeout must still carry its request. The reader
-// goroutine may see the expired deadline before the connection is acquired and handle it afterwards.
+// goroutine may see the expired deadline before the connection is acquired, and handle the deadline
+// afterwards.
 func TestAcquireAtIdleTimeout(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	nc, err := net.Dial("tcp", stub.Addr)
@@ -57,7 +58,8 @@
 	}
 }
 
-// A close by the endpoint is noticed while the connection is idle, so that no request is written to it.
+// A close by the endpoint is noticed while the connection is idle, so that no request is written to a
+// closed connection.
 func TestRemoteCloseIsNoticedWhileIdle(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
--- a/internal/upstream/do_test.go
+++ b/internal/upstream/do_test.go
@@ -101,7 +101,7 @@
 	return ln.Addr().String(), conns
 }
 
-// An attempt can also be canceled while its request is being written.
+// An attempt can be canceled while its request is being written.
 func TestCancelDuringRequestWrite(t *testing.T) {
 	addr, conns := startHeaderOnlyServer(t, "")
 	pool := newTestPool(t, 9)
@@ -113,7 +113,7 @@
 	go func() { done <- pool.Do(ctx, a) }()
 	nettest.Receive(t, conns)
 	cancel()
-	// The last byte of the request was not written, so it was not executed.
+	// The last byte of the request was not written, so the request was not executed.
 	if r := nettest.Receive(t, done); r.Result != balance.ConnectFailed {
 		t.Errorf("result %v (%v), want %v", r.Result, r.Err, balance.ConnectFailed)
 	}
