--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// A sidecar counts as notified after 6 s of changes that a stalled watch missed. Guards against a later detection and
-// replacement of a stalled watch, even if the call in between gets no response at all, or a response that begins and
-// then stalls too.
+// A sidecar counts as notified of a change after 6 s, even if its watch stalled and missed the change. A stalled watch
+// must be detected and replaced within that time, even if the call in between gets no response at all, or a response
+// that begins and then stalls too.
 func TestStalledWatchIsDetected(t *testing.T) {
 	if WatchStallTimeout <= 2*time.Second {
 		t.Errorf("a watch counts as stalled after %v, but heartbeats come every 2 s", WatchStallTimeout)
@@ -75,7 +75,7 @@
 		balance.WatchFailed:  "no response",
 		balance.WatchStalled: "a response that stalls",
 	} {
-		worst := 0.0
+		longest := 0.0
 		for seed := range uint64(50) {
 			b := balance.New(balance.Config{
 				Seed:         seed,
@@ -103,10 +103,10 @@
 				callDuration = stallTimeout
 			}
 			elapsed += callDuration + handle(balance.EndpointUpdate{Kind: kind})
-			worst = max(worst, elapsed)
+			longest = max(longest, elapsed)
 		}
-		if worst > 6000 {
-			t.Errorf("after %s the next watch begins only after %v ms, want at most 6000 ms", name, worst)
+		if longest > 6000 {
+			t.Errorf("after %s the next watch begins only after %v ms, want at most 6000 ms", name, longest)
 		}
 	}
 }
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -23,7 +23,7 @@
 //
 // While a handler runs, net/http detects a disconnect of the client by reading one byte, and stops doing so once it
 // has received a byte of a further request. Therefore such a read returns no data: what arrives is read ahead until
-// the client disconnects or the handler is done, upon which net/http sets a read deadline.
+// the client disconnects or the handler is done; net/http then sets a read deadline.
 func (r *headRecorder) readOrReadAhead(p []byte) (int, error) {
 	if len(p) > 1 || !r.handlerActive() {
 		if n := r.consumeReadAhead(p); n > 0 {
@@ -80,8 +80,8 @@
 	r.readAheadBudget.Add(-n)
 }
 
-// releaseReadAhead returns n bytes to the read-ahead budget, but no more than the connection still uses: Close may
-// release all of its bytes during a read.
+// releaseReadAhead returns n bytes to the read-ahead budget, or all bytes that the connection uses if they are fewer
+// than n. They can be fewer because Close may release all bytes of the connection during a read.
 func (r *headRecorder) releaseReadAhead(n int64) {
 	for {
 		used := r.readAheadUsed.Load()
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -14,10 +14,10 @@
 	"pebblelift/internal/upstream"
 )
 
-// A client's disconnect is noticed even if the client has sent bytes of a further request before. net/http alone stops
-// watching for a disconnect once it has received such a byte.
+// A client's disconnect is noticed even if the client has already sent bytes of a further request. net/http by itself
+// stops watching for a disconnect once it has received such a byte.
 func TestClientCancelAfterPipelinedRequest(t *testing.T) {
-	for name, further := range map[string]string{
+	for name, extraData := range map[string]string{
 		"one byte":        "G",
 		"partial request": idempotentRequest("u")[:70],
 		"whole request":   idempotentRequest("u"),
@@ -32,7 +32,7 @@
 			c, _ := h.connect()
 			io.WriteString(c, idempotentRequest("t"))
 			nettest.Receive(t, received)
-			io.WriteString(c, further)
+			io.WriteString(c, extraData)
 			c.Close()
 			nettest.Receive(t, stub.Disconnects)
 			if stats := h.stats(); stats.ClientsCanceled != 1 || stats.Requests != 1 {
@@ -99,7 +99,7 @@
 				return stats.ClientsCanceled == 1 && stats.OpenRequests == 0
 			})
 			nettest.Eventually(t, "the read-ahead budget is released", func() bool {
-				return h.server.listener.Load().readAheadBudget.Load() == config.DefaultReadAhead
+				return h.server.listener.Load().readAheadBudget.Load() == config.DefaultReadAheadBytes
 			})
 			if n := int(stub.Requests.Load()); n != test.responses+1 {
 				t.Errorf("%d requests were forwarded, want %d", n, test.responses+1)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -9,7 +9,8 @@
 )
 
 // document is the settings object as JSON. Most fields are named after the fields of balance.Config and Settings that
-// they set, and the tags hold the keys of the settings object. Unknown keys are ignored.
+// they set, and the tags hold the keys of the settings object. The fields of Report and Clients are named after their
+// keys, because encoding/json writes the fields of an anonymous struct into its error texts. Unknown keys are ignored.
 type document struct {
 	Classes         []classDocument  `json:"classes"`
 	Tenants         []tenantDocument `json:"tenants"`
@@ -22,11 +23,11 @@
 	OverQuotaWeight *float64         `json:"over_share_worth"`
 	BatchInterval   float64          `json:"quantum_ms"`
 	Report          struct {
-		Source string   `json:"via"`
+		Via    string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Clients struct {
-		MarkRetries bool `json:"marks_retry"`
+		MarksRetry bool `json:"marks_retry"`
 	} `json:"clients"`
 	Limits    limitsDocument    `json:"limits"`
 	Rules     rulesDocument     `json:"rules"`
@@ -68,7 +69,7 @@
 	RetryAfter      bool    `json:"retry_after"`
 }
 
-// rulesDocument holds the time limits and the behavior of endpoints that warm up.
+// rulesDocument holds time limits and the rules for slow start, draining and overload.
 type rulesDocument struct {
 	ResponseSlack     float64  `json:"answer_slack_ms"`
 	PollInterval      float64  `json:"ask_within_ms"`
@@ -131,9 +132,11 @@
 	"fail_rate": balance.FieldErrorRate,
 }
 
-// subscribeNames maps the values of "discovery" to whether the endpoint list must be polled for or watched.
+// subscribeNames maps the values of "discovery" to balance.Config.Subscribe: whether the balancer must poll or watch
+// the endpoint list.
 var subscribeNames = map[string]bool{"": false, "automatic": false, "subscribe": true}
 
+// parseDocument parses the settings object without checking its values.
 func parseDocument(raw []byte) (d document, err error) {
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return d, fmt.Errorf("settings: %w", err)
@@ -150,7 +153,7 @@
 		Zone:               d.Zone,
 		OverQuotaWeight:    orDefault(d.OverQuotaWeight, 1),
 		BatchInterval:      d.BatchInterval,
-		ClientsMarkRetries: d.Clients.MarkRetries,
+		ClientsMarkRetries: d.Clients.MarksRetry,
 		Goal:               balance.Goal(d.Goal),
 		Penalties:          balance.Penalties(d.Penalties),
 	}
@@ -165,6 +168,7 @@
 	return cfg, d.applyClasses(&cfg)
 }
 
+// apply sets the fields of the balancer's configuration that the limits define.
 func (l *limitsDocument) apply(cfg *balance.Config) {
 	cfg.MaxAttempts = orDefault(l.MaxAttempts, 1)
 	cfg.Hedging = l.Hedging
@@ -176,6 +180,7 @@
 	cfg.ConnectTimeout = l.ConnectTimeout
 }
 
+// apply sets the fields of the balancer's configuration that the rules define.
 func (r *rulesDocument) apply(cfg *balance.Config) {
 	cfg.DrainGrace = r.DrainGrace
 	cfg.SlowStartFraction = orDefault(r.SlowStartFraction, 1)
@@ -190,10 +195,10 @@
 func (d *document) applySources(cfg *balance.Config) error {
 	var known bool
 	if cfg.Subscribe, known = subscribeNames[d.Discovery]; !known {
-		return invalid("discovery", d.Discovery)
+		return invalidValue("discovery", d.Discovery)
 	}
-	if cfg.ReportSource, known = reportSourceNames[d.Report.Source]; !known {
-		return invalid("report.via", d.Report.Source)
+	if cfg.ReportSource, known = reportSourceNames[d.Report.Via]; !known {
+		return invalidValue("report.via", d.Report.Via)
 	}
 	for _, name := range d.Report.Fields {
 		cfg.ReportFields = append(cfg.ReportFields, reportFieldNames[name])
@@ -201,6 +206,7 @@
 	return nil
 }
 
+// applyClasses sets the classes of requests. It returns an error if there is none or one has an invalid value.
 func (d *document) applyClasses(cfg *balance.Config) error {
 	if len(d.Classes) == 0 {
 		return ErrNoClasses
@@ -215,20 +221,21 @@
 	return nil
 }
 
+// balancerClass converts a class and sets defaults for omitted values. It returns an error for an invalid value.
 func (c *classDocument) balancerClass() (balance.Class, error) {
 	idempotency, known := idempotencyNames[c.Idempotency]
 	if !known {
-		return balance.Class{}, invalid("effect", c.Idempotency)
+		return balance.Class{}, invalidValue("effect", c.Idempotency)
 	}
 	scope, known := dedupScopeNames[c.DedupScope]
 	if !known {
-		return balance.Class{}, invalid("group", c.DedupScope)
+		return balance.Class{}, invalidValue("group", c.DedupScope)
 	}
 	if !(c.Deadline > 0) {
-		return balance.Class{}, invalid("hard_limit_ms", c.Deadline)
+		return balance.Class{}, invalidValue("hard_limit_ms", c.Deadline)
 	}
 	if c.LatencyObjective < 0 {
-		return balance.Class{}, invalid("on_time_ms", c.LatencyObjective)
+		return balance.Class{}, invalidValue("on_time_ms", c.LatencyObjective)
 	}
 	objective := c.LatencyObjective
 	if objective == 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,7 +39,8 @@
 
 var errInvalidValue = errors.New("invalid value")
 
-func invalid(field string, value any) error {
+// invalidValue returns a FieldError for a value of a field that is not allowed.
+func invalidValue(field string, value any) error {
 	return &FieldError{Field: field, Err: fmt.Errorf("%w: %v", errInvalidValue, value)}
 }
 
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -18,11 +18,11 @@
 	}
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.cancelWatch = cancel
-	after, client, startedAt := d.generation, d.discovery, d.clock.Now()
+	generation, client, startedAt := d.generation, d.discovery, d.clock.Now()
 	d.stats.DiscoveryCalls++
 	d.loop.workers.Go(func() {
 		first := true
-		err := client.Watch(ctx, after, timeout, func(catalog discovery.Catalog) {
+		err := client.Watch(ctx, generation, timeout, func(catalog discovery.Catalog) {
 			latency, isFirst := d.clock.Now()-startedAt, first
 			first = false
 			d.loop.enqueue(func(d *dispatcher) {
@@ -88,7 +88,7 @@
 }
 
 // SetDiscovery changes the address of discovery while the loop runs. An open watch, or one that is about to be opened,
-// is replaced at once by a watch at the new address, since the old address closes soon.
+// is replaced at once by a watch at the new address, since discovery soon stops responding at the old address.
 func (l *Loop) SetDiscovery(addr string) {
 	l.enqueue(func(d *dispatcher) {
 		d.discovery = discovery.NewClient(addr)
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -29,7 +29,8 @@
 }
 
 // A connection that is acquired at the very moment of its idle timeout must still carry its request. The reader
-// goroutine may see the expired deadline before the connection is acquired and handle it afterwards.
+// goroutine may see the expired deadline before the connection is acquired, and handle the deadline
+// afterwards.
 func TestAcquireAtIdleTimeout(t *testing.T) {
 	stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
 	nc, err := net.Dial("tcp", stub.Addr)
@@ -39,8 +40,8 @@
 	defer nc.Close()
 	pool := newTestPool(t, 9)
 	rt := newRoundTrip("GET")
-	rt.started.Store(true)
-	close(rt.written)
+	rt.writeStarted.Store(true)
+	close(rt.writeEnded)
 	limited := &limitedReader{source: &deadlineOnFirstRead{Conn: nc}}
 	c := &conn{
 		Conn:      nc,
@@ -52,12 +53,13 @@
 	}
 	io.WriteString(nc, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	go pool.readLoop(c)
-	if r := nettest.Receive(t, rt.done); r.Result != balance.OK {
+	if r := nettest.Receive(t, rt.result); r.Result != balance.OK {
 		t.Errorf("result %v (%v), want %v", r.Result, r.Err, balance.OK)
 	}
 }
 
-// A close by the endpoint is noticed while the connection is idle, so that no request is written to it.
+// A close by the endpoint is noticed while the connection is idle, so that no request is written to a
+// closed connection.
 func TestRemoteCloseIsNoticedWhileIdle(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	stub := nettest.NewStubServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
--- a/internal/upstream/do_test.go
+++ b/internal/upstream/do_test.go
@@ -25,7 +25,7 @@
 		},
 		"the deduplication window is over": func(p *Pool, a *Attempt) { a.StartBefore = p.options.Clock.Now() },
 		"the deadline has passed":          func(p *Pool, a *Attempt) { a.Deadline = p.options.Clock.Now() },
-		"the attempt was canceled":         func(_ *Pool, a *Attempt) { a.Claim() },
+		"the attempt was canceled":         func(_ *Pool, a *Attempt) { a.ClaimStart() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			stub := nettest.NewStubServer(t, nettest.RespondWith(nettest.OKResponse))
@@ -101,7 +101,7 @@
 	return ln.Addr().String(), conns
 }
 
-// An attempt can also be canceled while its request is being written.
+// An attempt can be canceled while its request is being written.
 func TestCancelDuringRequestWrite(t *testing.T) {
 	addr, conns := startHeaderOnlyServer(t, "")
 	pool := newTestPool(t, 9)
@@ -113,14 +113,14 @@
 	go func() { done <- pool.Do(ctx, a) }()
 	nettest.Receive(t, conns)
 	cancel()
-	// The last byte of the request was not written, so it was not executed.
+	// The last byte of the request was not written, so the request was not executed.
 	if r := nettest.Receive(t, done); r.Result != balance.ConnectFailed {
 		t.Errorf("result %v (%v), want %v", r.Result, r.Err, balance.ConnectFailed)
 	}
 	nettest.Eventually(t, "no connection is open", func() bool { return pool.openConnections() == 0 })
 }
 
-// A health check is a request of its own to the given path. Its load report comes in the body or in a header field.
+// A health check is a separate request to the given path. Its load report is read from a header field or from the body.
 func TestHealthCheck(t *testing.T) {
 	paths := make(chan string, 1)
 	stub := nettest.NewStubServer(t, func(c net.Conn, req *http.Request, _ string) bool {
