--- a/balance/action.go
+++ b/balance/action.go
@@ -50,7 +50,7 @@
 	Deadline float64
 	// Delay is a time in ms from now; ActionKind tells what it means for each kind.
 	Delay float64
-	// Token identifies a timer; the Timer event carries it back.
+	// Token identifies the timer that SetTimer sets. The Timer event of the timer carries the same token.
 	Token uint64
 	// Peer is the peer index of the sidecar that gets a gossip message, or AllPeers.
 	Peer int
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -10,21 +10,22 @@
 	// responses is estimated from the attempts in flight and the response rate (Little's law).
 	countedInFlightFraction = 0.85
 	// assumedResponses is the number of responses added to those that were counted when the response rate is
-	// estimated, so that a sidecar with hardly any recent responses gets a usable rate.
+	// estimated, so that a sidecar with few recent responses gets a usable rate.
 	assumedResponses = 2
 	// maxEstimatedLatency is the upper bound, in latency objectives, on the estimated latency of responses
-	// when the overload is computed.
+	// from which the overload is computed.
 	maxEstimatedLatency = 2
 	// immediateShedGain is the fraction of the load that is shed in addition to the base shed fraction, per
-	// latency objective by which the estimated latency exceeds the allowed latency. It takes effect at once
-	// and lasts as long as the excess. A latency below the allowed one lowers the fraction in the same way.
+	// latency objective by which the estimated latency exceeds the allowed latency. The addition takes effect
+	// at once and lasts as long as the excess. A latency below the allowed one lowers the fraction in the
+	// same way.
 	immediateShedGain = 4
 	// baseShedGain is the increase of the base shed fraction with each arriving request, per latency
 	// objective by which the estimated latency exceeds the allowed latency. The base shed fraction persists
 	// between requests and falls while the latency is below the allowed one.
 	baseShedGain = 0.04
 	// lowTrafficRequests is the number of requests per longest latency objective below which each request
-	// changes the base shed fraction by more, and the maximum factor of that increase.
+	// changes the base shed fraction by more. It is also the largest factor by which the change grows.
 	lowTrafficRequests = 5
 	// maxShedFraction is the maximum fraction of the load to shed. It is below 1 because responses are needed
 	// to see that an overload has ended.
@@ -32,9 +33,9 @@
 	// maxQuotaRatio is the upper bound on the ratio of a tenant's quota to its traffic when the value of the
 	// tenant's requests is computed.
 	maxQuotaRatio = 2
-	// similarValueFactor is the ratio up to which requests have a similar shed value (their value for the
-	// goal per unit of work) and are shed with equal probability. So a tenant slightly over its quota does
-	// not bear all of the shedding.
+	// similarValueFactor is the ratio up to which the shed values of requests (their value for the goal per
+	// unit of work) count as similar. Requests of similar value are shed with equal probability, so that a
+	// tenant slightly over its quota does not bear all of the shedding.
 	similarValueFactor = 1.25
 	// minRetryAfter is the lower bound on the Retry-After of a rejected request, as a fraction of the latency
 	// objective. The longest Retry-After that clients obey may be shorter and then takes precedence.
@@ -54,8 +55,8 @@
 // observes itself.
 type loadShedder struct {
 	longestObjective float64   // ms
-	responseRate     rateMeter // successful responses
-	baseFraction     float64   // base shed fraction; it outlasts the overload
+	responseRate     rateMeter // rate of successful responses
+	baseShedFraction float64   // fraction of the load to shed; it persists after the overload
 
 	// overload is the latency beyond the allowed latency, as a fraction of the objective. With gossip it is
 	// the load beyond the concurrency limit; see fleetShedFraction.
@@ -66,26 +67,27 @@
 	return loadShedder{longestObjective: longestObjective, responseRate: newRateMeter(longestObjective)}
 }
 
-// update takes in the present load and returns the fraction of the load to shed now. By Little's law the
-// attempts in flight divided by the response rate are the latency of responses. This estimate shows overload
-// before the slow responses themselves arrive.
+// update sets the overload and the base shed fraction by the current load, and returns the fraction of the
+// load to shed now. It estimates the latency of responses by Little's law, as the attempts in flight divided
+// by the response rate. This estimate shows overload before the slow responses themselves arrive.
 func (s *loadShedder) update(now, inFlight, requestRate float64, latency *latencyTracker) float64 {
 	estimated := countedInFlightFraction * inFlight / s.responseRate.rate(now, assumedResponses)
 	allowed := latency.baseline + allowedQueueingFraction*(1-latency.baseline)
 	bounded := math.Min(estimated, 2*latency.shortTerm) // requests may be in flight together by chance
 	s.overload = math.Min(bounded, maxEstimatedLatency) - allowed
 	lowTrafficFactor := clamp(lowTrafficRequests/(requestRate*s.longestObjective), 1, lowTrafficRequests)
-	s.baseFraction = clamp(s.baseFraction+baseShedGain*lowTrafficFactor*s.overload, 0, maxShedFraction)
-	// A sidecar that has not shed lately must not shed because of requests in flight together by chance.
-	limit := math.Min(maxShedFraction, 2*s.baseFraction)
-	return clamp(s.baseFraction+immediateShedGain*s.overload, 0, limit)
+	s.baseShedFraction = clamp(s.baseShedFraction+baseShedGain*lowTrafficFactor*s.overload,
+		0, maxShedFraction)
+	// A sidecar whose base shed fraction is 0 must not shed because of requests in flight together by chance.
+	limit := math.Min(maxShedFraction, 2*s.baseShedFraction)
+	return clamp(s.baseShedFraction+immediateShedGain*s.overload, 0, limit)
 }
 
 // admit reports whether a request may be sent. It sheds load that the fleet cannot serve within the latency
 // objectives, before any attempt is made.
 func (b *Balancer) admit(r *request) bool {
 	shed := b.shedFraction()
-	if b.pastObjective(r) && b.shedder.baseFraction >= r.class.LateWeight {
+	if b.pastObjective(r) && b.shedder.baseShedFraction >= r.class.LateWeight {
 		b.stats.PastObjective++
 		return false
 	}
@@ -102,10 +104,10 @@
 func (b *Balancer) shedFraction() float64 {
 	shed := b.shedder.update(b.now, b.overloadSignal(), b.requestRate.rate(b.now, 0), &b.latency)
 	switch {
-	case b.gossip.fresh(b.now):
+	case b.gossip.isFresh(b.now):
 		shed = b.fleetShedFraction()
-		b.shedder.baseFraction = shed
-	case b.gossip.lost(b.now):
+		b.shedder.baseShedFraction = shed
+	case b.gossip.isLost(b.now):
 		shed = math.Max(shed, b.fleetShedFraction())
 	}
 	return shed
@@ -199,8 +201,8 @@
 	return b.cfg.OverQuotaWeight + (1-b.cfg.OverQuotaWeight)*quotaRatio
 }
 
-// retryAfter returns the Retry-After of a rejected request in ms, or 0 for none. It is the time by which
-// responses are too slow now. After a longer wait the client's retry would be late and its work wasted.
+// retryAfter returns the Retry-After of a rejected request in ms, or 0 for none. The wait is the time by
+// which responses are too slow now. After a longer wait the client's retry would be late and its work wasted.
 func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.cfg.RetryAfter {
 		return 0
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Rejections carry a Retry-After that grows with the overload and never exceeds the longest one that clients
-// obey. There is no Retry-After if the settings do not allow it.
+// Rejections carry a Retry-After that grows with the overload and never exceeds the longest Retry-After that
+// clients obey. There is no Retry-After if the settings do not allow it.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		overload      float64
@@ -56,7 +56,7 @@
 		id, actions := h.request(idempotentClass)
 		target, ok := attemptTarget(actions)
 		if !ok {
-			t.Fatalf("request %d was rejected, base shed fraction %v", id, h.b.shedder.baseFraction)
+			t.Fatalf("request %d was rejected, base shed fraction %v", id, h.b.shedder.baseShedFraction)
 		}
 		if target == 1 {
 			hung++
@@ -118,16 +118,16 @@
 			h.request(nonIdempotentClass)
 			ejected.objectiveLoad, healthy.objectiveLoad = c.ejectedLoad, c.healthyLoad
 		}
-		if h.b.shedder.baseFraction > 0 != c.sheds {
-			t.Errorf("%+v: base shed fraction %.2f", c, h.b.shedder.baseFraction)
+		if h.b.shedder.baseShedFraction > 0 != c.sheds {
+			t.Errorf("%+v: base shed fraction %.2f", c, h.b.shedder.baseShedFraction)
 		}
 	}
 }
 
 // setOverload sets the base shed fraction, and adds load in flight until the estimated latency exceeds the
 // allowed latency by the given fraction of the latency objective.
-func (h *harness) setOverload(baseFraction, overload float64) {
-	h.b.shedder.baseFraction = baseFraction
+func (h *harness) setOverload(baseShedFraction, overload float64) {
+	h.b.shedder.baseShedFraction = baseShedFraction
 	allowed := h.b.latency.baseline + allowedQueueingFraction*(1-h.b.latency.baseline)
 	responseRate := h.b.shedder.responseRate.rate(h.b.now, assumedResponses)
 	healthy, _ := h.b.inFlightLoad()
@@ -171,19 +171,19 @@
 
 // Guards against queues that grow for seconds because busy sidecars shed too little at first. Endpoints that
 // were overloaded stay slow. The shed fraction must follow the load at once, between 0 and twice the base
-// shed fraction. A sidecar that has not shed lately must reject nothing, as its few requests may be in flight
-// together by chance.
+// shed fraction. A sidecar with a base shed fraction of 0 must reject at most a tenth of its requests, as its
+// few requests may be in flight together by chance.
 func TestSheddingFollowsLoadImmediately(t *testing.T) {
 	for _, c := range []struct {
-		baseFraction float64
-		overload     float64 // latency beyond the allowed one, as a fraction of the objective
-		minRejected  float64 // fraction of the requests
-		maxRejected  float64 // fraction of the requests
+		baseShedFraction float64
+		overload         float64 // latency beyond the allowed latency, as a fraction of the objective
+		minRejected      float64 // fraction of the requests
+		maxRejected      float64 // fraction of the requests
 	}{
-		{baseFraction: 0, overload: 0.5, minRejected: 0, maxRejected: 0.1},
-		{baseFraction: 0.4, overload: 0, minRejected: 0.3, maxRejected: 0.5},
-		{baseFraction: 0.4, overload: 0.5, minRejected: 0.7, maxRejected: 0.9},
-		{baseFraction: 0.4, overload: -0.3, minRejected: 0, maxRejected: 0},
+		{baseShedFraction: 0, overload: 0.5, minRejected: 0, maxRejected: 0.1},
+		{baseShedFraction: 0.4, overload: 0, minRejected: 0.3, maxRejected: 0.5},
+		{baseShedFraction: 0.4, overload: 0.5, minRejected: 0.7, maxRejected: 0.9},
+		{baseShedFraction: 0.4, overload: -0.3, minRejected: 0, maxRejected: 0},
 	} {
 		h := newHarness(t, baseConfig(), newEndpoints(4)...)
 		for range 100 {
@@ -193,7 +193,7 @@
 		}
 		rejected := 0.0
 		for range 200 {
-			h.setOverload(c.baseFraction, c.overload)
+			h.setOverload(c.baseShedFraction, c.overload)
 			if _, actions := h.request(idempotentClass); hasAction(actions, Reject) {
 				rejected++
 			}
@@ -268,31 +268,31 @@
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].LateWeight = 0.3
 	for _, c := range []struct {
-		baseFraction float64
-		timeout      float64
-		rejected     bool
+		baseShedFraction float64
+		timeout          float64
+		rejected         bool
 	}{
-		{baseFraction: 0.5, timeout: 1000, rejected: true},   // retry after 500 ms: past the 300 ms objective
-		{baseFraction: 0.2, timeout: 1000, rejected: false},  // retry, but shedding below the late weight
-		{baseFraction: 0.5, timeout: 1300, rejected: false},  // retry after 200 ms: it can meet the objective
-		{baseFraction: 0.99, timeout: 1500, rejected: false}, // first request: it has the whole timeout
+		{baseShedFraction: 0.5, timeout: 1000, rejected: true},   // retry after 500 ms: past the 300 ms objective
+		{baseShedFraction: 0.2, timeout: 1000, rejected: false},  // retry, but shedding below the late weight
+		{baseShedFraction: 0.5, timeout: 1300, rejected: false},  // retry after 200 ms: it can meet the objective
+		{baseShedFraction: 0.99, timeout: 1500, rejected: false}, // first request: it has the whole timeout
 	} {
 		h := newHarness(t, cfg, newEndpoints(4)...)
 		h.request(idempotentClass)
-		h.b.shedder.baseFraction = c.baseFraction
+		h.b.shedder.baseShedFraction = c.baseShedFraction
 		r := &request{
 			Request:    Request{Timeout: c.timeout},
 			class:      &h.b.cfg.Classes[idempotentClass],
 			classStats: &h.b.demand.classes[idempotentClass],
 		}
-		got := h.b.pastObjective(r) && h.b.shedder.baseFraction >= r.class.LateWeight
+		got := h.b.pastObjective(r) && h.b.shedder.baseShedFraction >= r.class.LateWeight
 		if got != c.rejected {
 			t.Errorf("%+v: rejected %v", c, got)
 		}
 		if !c.rejected {
 			continue
 		}
-		h.b.shedder.baseFraction = c.baseFraction
+		h.b.shedder.baseShedFraction = c.baseShedFraction
 		if actions := h.handle(Request{ID: 77, Timeout: c.timeout}); !hasAction(actions, Reject) {
 			t.Errorf("%+v: got actions %+v, want a rejection", c, actions)
 		}
@@ -407,7 +407,7 @@
 		}
 		h.setOverload(0.1, 0.5)
 		h.request(idempotentClass)
-		increase[gap] = h.b.shedder.baseFraction - 0.1
+		increase[gap] = h.b.shedder.baseShedFraction - 0.1
 	}
 	if increase[lowTrafficGap] < 2*increase[highTrafficGap] || increase[highTrafficGap] <= 0 {
 		t.Fatalf("increase of the base shed fraction by gap between requests: %v, want it above 0, "+
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -14,8 +14,8 @@
 	overdue     bool      // the attempt took too long and has been counted as an error of its endpoint
 }
 
-// noAttempt is a number that no attempt has. closeRequest passes it to cancelAttemptsExcept to cancel every
-// attempt in flight.
+// noAttempt is a number that no attempt has. closeRequest passes noAttempt to cancelAttemptsExcept to cancel
+// every attempt in flight.
 const noAttempt = -1
 
 // startAttempt sends a request to an endpoint and counts the attempt there. A retry takes a token from the
@@ -26,7 +26,7 @@
 	}
 	e.warmUp.tokens--
 	e.inFlight++
-	e.check.sentSinceReport++
+	e.healthCheck.sentSinceReport++
 	e.objectiveLoad += 1 / r.class.LatencyObjective
 	r.inFlight++
 	r.attempts = append(r.attempts, attempt{endpoint: e, sentAt: b.now, inFlight: true})
@@ -55,7 +55,7 @@
 	if r.closed || event.RequestClosed || r.streaming {
 		b.closeRequest(r)
 	}
-	b.advance(r)
+	b.processRequest(r)
 	return nil
 }
 
@@ -64,13 +64,13 @@
 	return number >= 0 && number < len(r.attempts) && r.attempts[number].inFlight
 }
 
-// cancelAttemptsExcept cancels the attempts in flight of a request, except the one with the number keep.
-func (b *Balancer) cancelAttemptsExcept(r *request, keep int) {
+// cancelAttemptsExcept cancels the attempts in flight of a request, except the attempt with the given number.
+func (b *Balancer) cancelAttemptsExcept(r *request, except int) {
 	if !b.cfg.CancelAttempts {
 		return
 	}
 	for i := range r.attempts {
-		if r.attempts[i].inFlight && i != keep {
+		if r.attempts[i].inFlight && i != except {
 			b.emit(Action{Kind: CancelAttempt, Request: r.ID, Attempt: i})
 		}
 	}
@@ -123,6 +123,6 @@
 // recordLatency records a latency, as a fraction of the latency objective, in the statistics of this sidecar
 // and of the whole fleet.
 func (b *Balancer) recordLatency(fraction float64) {
-	b.concurrency.latency.recordOwn(b.now, fraction)
+	b.concurrency.latency.recordOwnResponse(b.now, fraction)
 	b.latency.record(fraction)
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -39,11 +39,11 @@
 	shedder      loadShedder
 	concurrency  concurrencyLimiter
 	capacity     capacityModel
-	subsets      subsetRing
+	subsets      subsetRings
 	slowStart    slowStart
 	healthChecks healthChecker
 	retryBudget  retryBudget
-	polls        pollSchedule
+	pollSchedule pollSchedule
 	gossip       gossipState
 }
 
@@ -65,11 +65,11 @@
 		shedder:          newLoadShedder(longestObjective),
 		concurrency:      newConcurrencyLimiter(),
 		capacity:         newCapacityModel(),
-		subsets:          newSubsetRing(&cfg),
+		subsets:          newSubsetRings(&cfg),
 		slowStart:        newSlowStart(&cfg, longestObjective),
 		healthChecks:     healthChecker{busyFraction: 1},
 		retryBudget:      retryBudget{tokens: retryBudgetBurst / 2},
-		polls:            newPollSchedule(&cfg),
+		pollSchedule:     newPollSchedule(&cfg),
 		gossip:           newGossipState(),
 	}
 }
@@ -84,7 +84,7 @@
 	b.concurrency.start(now)
 	b.actions = b.actions[:0]
 	if b.cfg.Subscribe {
-		b.schedulePoll(b.polls.delayAtStart(now))
+		b.schedulePoll(b.pollSchedule.delayAtStart(now))
 	}
 	b.scheduleGossip()
 	return b.actions
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -16,11 +16,12 @@
 	// small its capacity is, before it is at capacity.
 	minRequestsAtCapacity = 2
 	// fleetShareSamples is the number of arriving requests over which this sidecar's and the fleet's requests
-	// in flight are averaged (exponential moving averages). Their ratio is this sidecar's share of the load.
+	// in flight are averaged (exponential moving averages). The ratio of these averages is this sidecar's
+	// share of the load.
 	fleetShareSamples = 50
 	// latencyTolerance is the fraction of the span between the baseline latency and the latency objective by
-	// which the mean latency may exceed the baseline while responses are fast. Above twice this fraction they
-	// are slow.
+	// which the mean latency may exceed the baseline while responses count as fast. Above twice this fraction
+	// responses count as slow.
 	latencyTolerance = 0.03
 	// minLimitUsage is the fraction of the concurrency limit that must be in use for the limit to be raised.
 	minLimitUsage = 0.75
@@ -46,8 +47,8 @@
 // requests in flight endpoints can hold per unit of their nominal capacity.
 type concurrencyLimiter struct {
 	limit         float64 // requests in flight per unit of nominal capacity
-	startedAt     float64
-	updatedAt     float64
+	startedAt     float64 // start of the balancer, in ms
+	updatedAt     float64 // time of the last call of updateConcurrencyLimit, in ms
 	utilization   float64 // recent mean of the fleet's requests in flight, per unit of nominal capacity
 	peakInService float64 // recent peak of the requests in service, per unit of nominal capacity
 	latency       fleetLatency
@@ -64,7 +65,7 @@
 
 func (l *concurrencyLimiter) start(now float64) { l.startedAt, l.updatedAt = now, now }
 
-// scaleToLimit converts a load that holds at the initial concurrency limit to the present limit.
+// scaleToLimit converts a load that holds at the initial concurrency limit to the current limit.
 func (l *concurrencyLimiter) scaleToLimit(load float64) float64 {
 	return load * l.limit / initialConcurrencyLimit
 }
@@ -81,14 +82,14 @@
 	return math.Max(0, own-math.Sqrt(own)) * l.fleetInFlight / math.Max(l.ownInFlight, minLoadDivisor)
 }
 
-// adjustLimit adapts the limit to the mean latency of all sidecars' responses. While the mean is hardly above
-// the baseline latency, more requests do no harm and the limit may rise. When the mean is well above the
+// adjustLimit adapts the limit to the mean latency of all sidecars' responses. While the mean is close to the
+// baseline latency, more requests do no harm and the limit may rise. When the mean is well above the
 // baseline, requests queue at the endpoints and the limit falls.
 //
 // By Little's law the utilization times the ratio of baseline to mean latency is the load in service, without
-// the queues. Endpoints have been seen to serve that much, so if responses are slow at a lower load, the
-// cause is not load, and the peak of the load in service is a floor for the limit. Overloaded endpoints serve
-// less than before, so the floor is at most the initial limit.
+// the queues. Endpoints have served the peak of this load, so responses that are slow at a lower load have
+// another cause, and the peak is a floor for the limit. Overloaded endpoints serve less than before, so the
+// floor is at most the initial limit.
 func (l *concurrencyLimiter) adjustLimit(elapsed, utilization float64) {
 	mean := l.latency.sum / l.latency.samples
 	smallSampleFactor := 1 + 1/math.Sqrt(l.latency.samples) // few responses may be fast by chance
@@ -113,30 +114,31 @@
 	elapsed := b.now - b.concurrency.updatedAt
 	b.concurrency.updatedAt = b.now
 	b.concurrency.latency.add(b.now, 0, 0)
-	if b.concurrency.latency.samples < minLatencySamples || !b.gossip.fresh(b.now) {
+	if b.concurrency.latency.samples < minLatencySamples || !b.gossip.isFresh(b.now) {
 		return
 	}
 	load := b.fleetLoad()
 	b.concurrency.adjustLimit(elapsed, load.total/load.capacity)
 }
 
-// fleetLoad is the number of requests in flight at the endpoints in use, and the capacity of these endpoints.
+// fleetLoad holds the number of requests in flight at the endpoints in use, and the capacity of these
+// endpoints.
 type fleetLoad struct {
 	own      float64 // requests in flight of this sidecar
 	total    float64 // requests in flight of all sidecars
 	capacity float64 // sum of the nominal capacities, lowered for endpoints that warm up
 }
 
-// fleetLoad sums up the endpoints in this sidecar's gossip scope. It leaves out endpoints that get no
-// requests: those that are not ready, ejected or failing. The requests counted at each endpoint are bounded,
-// as they pile up at an endpoint that hangs.
+// fleetLoad sums up the load and the capacity of the endpoints in this sidecar's gossip scope. It leaves out
+// endpoints that are not ready, ejected or failing, as these get no requests. The count of requests at each
+// endpoint is bounded, because requests pile up at an endpoint that hangs.
 func (b *Balancer) fleetLoad() fleetLoad {
 	load := fleetLoad{capacity: minLoadDivisor}
 	for _, e := range b.gossipScope() {
-		if e.Lifecycle != Ready || e.outlier.ejected(b.now) || e.evidence.failing(b.now) {
+		if e.Lifecycle != Ready || e.outlier.ejected(b.now) || e.evidence.isFailing(b.now) {
 			continue
 		}
-		capacity := b.presentCapacity(e)
+		capacity := b.effectiveCapacity(e)
 		load.own += float64(e.inFlight)
 		load.total += math.Min(e.fleetInFlight(), b.concurrency.scaleToLimit(2*fullShedLoad)*capacity)
 		load.capacity += capacity
@@ -148,8 +150,8 @@
 // known from gossip.
 func (e *endpoint) fleetInFlight() float64 { return e.gossip.inFlightFromPeers + float64(e.inFlight) }
 
-// presentCapacity returns an endpoint's nominal capacity, lowered while the endpoint warms up.
-func (b *Balancer) presentCapacity(e *endpoint) float64 {
+// effectiveCapacity returns an endpoint's nominal capacity, lowered while the endpoint warms up.
+func (b *Balancer) effectiveCapacity(e *endpoint) float64 {
 	if b.slowStart.warmingUp(e, b.now) {
 		return e.NominalCapacity * b.slowStart.capacityFraction(e, b.now)
 	}
@@ -159,17 +161,18 @@
 // atCapacity reports whether all sidecars together have so many requests in flight at the endpoint that one
 // more would wait too long. A failing endpoint is always at capacity, although it may have nothing in flight.
 func (b *Balancer) atCapacity(e *endpoint) bool {
-	limit := math.Max(minRequestsAtCapacity, b.concurrency.scaleToLimit(atCapacityLoad)*b.presentCapacity(e))
-	return e.evidence.failing(b.now) || e.fleetInFlight()+1 > limit
+	limit := math.Max(minRequestsAtCapacity,
+		b.concurrency.scaleToLimit(atCapacityLoad)*b.effectiveCapacity(e))
+	return e.evidence.isFailing(b.now) || e.fleetInFlight()+1 > limit
 }
 
 // fleetShedFraction returns the fraction of the load to shed, from the requests that all sidecars have in
-// flight. When gossip is lost, the other sidecars' load is assumed to have grown as much as this sidecar's:
-// its own responses would show an overload only after the endpoints are overfull.
+// flight. While gossip is lost, it assumes that the other sidecars' load has grown as much as this sidecar's
+// load, because this sidecar's responses would show an overload only after the endpoints are overloaded.
 func (b *Balancer) fleetShedFraction() float64 {
 	load := b.fleetLoad()
 	total := load.total
-	if b.gossip.lost(b.now) {
+	if b.gossip.isLost(b.now) {
 		total = b.concurrency.estimateFleetInFlight(load.own)
 	} else {
 		b.concurrency.recordFleetShare(load)
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -10,8 +10,9 @@
 	return h, peer
 }
 
-// Guards against overloading endpoints that look empty to one sidecar but are full of the requests of others.
-// A peer's requests in flight must count until a later message replaces them or the peer's gossip expires.
+// Guards against overloading endpoints that look idle to one sidecar but are full of other sidecars'
+// requests. A peer's requests in flight must count until a later message replaces them or the peer's gossip
+// expires.
 func TestEndpointsFilledByPeersAreSkipped(t *testing.T) {
 	for _, expired := range []bool{false, true} {
 		h, peer := newPeers(t, newEndpoints(8))
@@ -41,7 +42,7 @@
 // full, and not once they are empty.
 func TestSheddingFollowsFleetLoad(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
-	h.b.shedder.baseFraction = maxShedFraction // by its own responses it would shed the maximum
+	h.b.shedder.baseShedFraction = maxShedFraction // by its own responses it would shed the maximum
 	h.b.latency.shortTerm = 2
 	rejectedWith := func(inFlight int) int {
 		peer.now += 10
@@ -71,15 +72,15 @@
 // Guards against late shedding when gossip is lost in overload: the last known load of the fleet is outdated,
 // and a sidecar's own responses show the overload only after the endpoints are overloaded. Its own requests
 // in flight show it sooner, as there are far more of them than usual.
-func TestSheddingWithGossipLostGoesByOwnShare(t *testing.T) {
+func TestSheddingWithLostGossipFollowsOwnLoad(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(40))
 	for _, e := range peer.b.endpoints[:12] {
 		e.inFlight = 1 // 12 requests at 40 endpoints of capacity 1: about a third
 	}
 	var inFlight []RequestID
-	// sendFour sends four requests, ends all attempts in flight but the last keep, and returns the number of
-	// rejected requests.
-	sendFour := func(keep int) (rejected int) {
+	// sendFour sends four requests, ends the oldest attempts until maxInFlight are left, and returns the
+	// number of rejected requests.
+	sendFour := func(maxInFlight int) (rejected int) {
 		h.now += 20
 		for range 4 {
 			if id, actions := h.request(idempotentClass); hasAction(actions, Reject) {
@@ -88,7 +89,7 @@
 				inFlight = append(inFlight, id)
 			}
 		}
-		for ; len(inFlight) > keep; inFlight = inFlight[1:] {
+		for ; len(inFlight) > maxInFlight; inFlight = inFlight[1:] {
 			h.finishAttempt(inFlight[0], 0, OK, 20)
 		}
 		return rejected
@@ -114,7 +115,7 @@
 	}
 }
 
-// Guards against taking endpoints that fail at once for empty ones, as they have nothing in flight. Such
+// Guards against treating endpoints that fail immediately as idle because they have nothing in flight. Such
 // endpoints drew the requests that were not sent to others, and counted as capacity while load was shed.
 func TestFailingEndpointsAddNoCapacity(t *testing.T) {
 	h := newHarness(t, gossipConfig(0), newEndpoints(4)...)
@@ -171,7 +172,7 @@
 				e.inFlight = 1 + i%2 // gossip contains only changes
 			}
 			peer.b.concurrency.latency.baseline = 0.2
-			peer.b.concurrency.latency.recordOwn(peer.now, latency/objective)
+			peer.b.concurrency.latency.recordOwnResponse(peer.now, latency/objective)
 			h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
 			h.sentGossip()
 			if id, actions := h.request(idempotentClass); hasAction(actions, Reject) {
@@ -190,7 +191,7 @@
 
 // simulatePeerLoad simulates a period of the given duration in ms. Peer 1 has the given number of requests in
 // flight at each endpoint, gets responses of the given latency (a fraction of the latency objective) and
-// sends gossip about both. This sidecar has no requests of its own.
+// sends gossip about both. This sidecar sends no requests.
 func (h *harness) simulatePeerLoad(peer *harness, inFlight int, latency, duration float64) {
 	h.t.Helper()
 	for end := h.now + duration; h.now < end; {
@@ -201,7 +202,7 @@
 			e.gossip.announcedInFlight = inFlight + 1 // gossip contains only changes
 		}
 		for range 10 {
-			peer.b.concurrency.latency.recordOwn(h.now, latency)
+			peer.b.concurrency.latency.recordOwnResponse(h.now, latency)
 		}
 		h.handle(GossipMessage{Sender: 1, Data: peer.sentGossip()})
 		h.sentGossip()
@@ -235,7 +236,8 @@
 }
 
 // If endpoints can serve less than their nominal capacities say, the limit falls below its initial value. If
-// endpoints have served the present load before and responses are slow for another reason, it does not.
+// endpoints have served the current load before and responses are slow for another reason, the limit does not
+// fall.
 func TestConcurrencyLimitIgnoresLatencyWithoutLoad(t *testing.T) {
 	overratedEndpoints := newEndpoints(4)
 	for i := range overratedEndpoints {
@@ -257,8 +259,8 @@
 }
 
 // A restarted sidecar has not yet seen how fast responses can be. It must adopt the baseline latency of its
-// peers, so that it does not take the latency in overload for normal. A single message must hardly change the
-// baseline.
+// peers, so that it does not take the latency in overload for normal. A single message must change the
+// baseline by little.
 func TestRestartedSidecarAdoptsPeerBaseline(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
 	peer.b.concurrency.latency.baseline = 0.1
@@ -273,7 +275,7 @@
 	}
 	justStarted := h.b.now < h.b.concurrency.startedAt+baselineAdoptionTime
 	for range 500 {
-		h.b.concurrency.latency.merge(h.b.now, latencyReport{baseline: 1}, justStarted)
+		h.b.concurrency.latency.mergeReport(h.b.now, latencyReport{baseline: 1}, justStarted)
 	}
 	if after := h.b.concurrency.latency.baseline; after < before {
 		t.Errorf("baseline went from %.2f to %.2f by gossip long after the start, want it not to fall",
@@ -281,8 +283,8 @@
 	}
 }
 
-// The limit and the baseline stay within a usable range if responses have a latency of zero, a tiny one or a
-// long one.
+// The limit and the baseline stay within a usable range if responses have a latency of zero, a tiny
+// latency or a long latency.
 func TestZeroLatencyResponses(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
 	for _, latency := range []float64{0, 2, 0, 1e-9, 2} {
--- a/balance/config.go
+++ b/balance/config.go
@@ -74,20 +74,21 @@
 // ReportField identifies one value of a load report.
 type ReportField uint8
 
-// The fields of load reports.
+// The fields of load reports. The balancer uses FieldInFlight only.
 const (
-	FieldUnknown   ReportField = iota // a value of unknown meaning, which is skipped
-	FieldInFlight                     // the number of requests that the endpoint is handling
-	FieldQueue                        // the number of requests that wait at the endpoint
-	FieldUtil                         // the fraction of the endpoint's CPU that is in use, from 0 to 1
-	FieldLatency                      // the recent service time of the endpoint's requests in ms
-	FieldRate                         // the number of requests that the endpoint serves per second
-	FieldErrorRate                    // the number of errors of the endpoint per second
+	FieldUnknown     ReportField = iota // a value of unknown meaning, which the balancer skips
+	FieldInFlight                       // the number of requests that the endpoint is handling
+	FieldQueue                          // the number of requests that wait at the endpoint
+	FieldUtilization                    // the fraction of the endpoint's CPU that is in use, from 0 to 1
+	FieldLatency                        // the recent service time of the endpoint's requests in ms
+	FieldRate                           // the number of requests that the endpoint serves per second
+	FieldErrorRate                      // the number of errors of the endpoint per second
 )
 
 // Config holds the settings of a Balancer. New replaces unusable values by defaults.
 type Config struct {
-	// Seed seeds the balancer's random numbers.
+	// Seed is the seed of the balancer's random numbers. Balancers with the same settings, seed and events
+	// return the same actions.
 	Seed uint64
 	// PeerIndex is the index of this sidecar among all sidecars, from 0.
 	PeerIndex int
@@ -137,7 +138,7 @@
 	// DrainGrace is the time in ms, from the moment at which an endpoint starts draining or is removed, after
 	// which the endpoint must get no more attempts.
 	DrainGrace float64
-	// SlowStartFraction is the least fraction of its capacity, from 0 to 1, that an endpoint has when its
+	// SlowStartFraction is the minimum fraction of its capacity, from 0 to 1, that an endpoint has when its
 	// process starts. The default is 1.
 	SlowStartFraction float64
 	// SlowStartDuration is the time in ms from the start of its process after which an endpoint has its whole
@@ -161,6 +162,7 @@
 }
 
 // Goal weighs the parts of the service level. The balancer sheds first the load that adds least to the goal.
+// The weights have no unit.
 type Goal struct {
 	// Overall is the weight of the service level over all requests.
 	Overall float64
@@ -172,7 +174,8 @@
 	WorstTenant float64
 }
 
-// Penalties holds the costs that lower the service level. Each field is the cost of one unit of its own kind.
+// Penalties holds the costs that lower the service level. Each cost is a fraction of the service level per
+// unit of what the field names; 0 means that there is no cost.
 type Penalties struct {
 	// CrossZone is the cost of responses from endpoints outside the sidecar's zone.
 	CrossZone float64
@@ -180,8 +183,7 @@
 	Waste float64
 	// Handshake is the cost of new connections to endpoints.
 	Handshake float64
-	// HealthCheck is the cost of health checks: the fraction of the service level that one health check per
-	// request costs.
+	// HealthCheck is the cost of one health check per request, as a fraction of the service level.
 	HealthCheck float64
 	// Gossip is the cost of gossip messages.
 	Gossip float64
@@ -203,12 +205,12 @@
 	}
 	c.Tenants = append([]Tenant(nil), c.Tenants...)
 	for i := range c.Tenants {
-		sanitize(&c.Tenants[i].QuotaRate, &c.Tenants[i].QuotaShare)
+		zeroInvalid(&c.Tenants[i].QuotaRate, &c.Tenants[i].QuotaShare)
 	}
-	sanitize(&c.OverQuotaWeight, &c.BatchInterval, &c.MaxRetryAfter, &c.ConnectTimeout, &c.DrainGrace,
+	zeroInvalid(&c.OverQuotaWeight, &c.BatchInterval, &c.MaxRetryAfter, &c.ConnectTimeout, &c.DrainGrace,
 		&c.SlowStartDuration, &c.OverloadFactor, &c.OverloadWindow, &c.PollInterval, &c.ResponseSlack)
-	sanitize(&c.Goal.Overall, &c.Goal.WorstWindow, &c.Goal.WorstClass, &c.Goal.WorstTenant)
-	sanitize(&c.Penalties.CrossZone, &c.Penalties.Waste, &c.Penalties.Handshake, &c.Penalties.HealthCheck,
+	zeroInvalid(&c.Goal.Overall, &c.Goal.WorstWindow, &c.Goal.WorstClass, &c.Goal.WorstTenant)
+	zeroInvalid(&c.Penalties.CrossZone, &c.Penalties.Waste, &c.Penalties.Handshake, &c.Penalties.HealthCheck,
 		&c.Penalties.Gossip, &c.Penalties.LateFailure)
 	if !(c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1) {
 		c.SlowStartFraction = 1
@@ -224,7 +226,7 @@
 
 // setDefaults replaces unusable values of the class by defaults.
 func (c *Class) setDefaults() {
-	sanitize(&c.LatencyObjective, &c.ObjectivePerWork, &c.Deadline, &c.PriorityWeight, &c.LateWeight)
+	zeroInvalid(&c.LatencyObjective, &c.ObjectivePerWork, &c.Deadline, &c.PriorityWeight, &c.LateWeight)
 	switch {
 	case c.Deadline == 0 && c.LatencyObjective == 0:
 		c.Deadline, c.LatencyObjective = defaultDeadline, defaultDeadline
--- a/balance/config_test.go
+++ b/balance/config_test.go
@@ -40,7 +40,7 @@
 		},
 		"piggybacked load reports": func(cfg *Config, _ *int) {
 			cfg.ReportSource = ReportPiggyback
-			cfg.ReportFields = []ReportField{FieldUtil, FieldRate}
+			cfg.ReportFields = []ReportField{FieldUtilization, FieldRate}
 		},
 		"zero latency objective and zero priority weight": func(cfg *Config, _ *int) {
 			cfg.Classes[idempotentClass].LatencyObjective = 0
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -1,6 +1,6 @@
-// Tests of the behavior for which the design paper requires tests. weight_test.go and retry_test.go also test
-// the exact values of the health multiplier's floor, its recovery with time, and the choice of the healthiest
-// endpoint for a retry.
+// The tests of this file cover the behavior for which the design document requires tests. weight_test.go and
+// retry_test.go also test the exact values of the health multiplier's lower bound and of its recovery with
+// time, and the choice of the healthiest endpoint for a retry.
 
 package balance
 
@@ -15,13 +15,13 @@
 	for range requests {
 		outlier := &h.b.endpoints[0].outlier
 		outlier.consecutiveErrors, outlier.lastErrorAt = consecutiveErrors, h.now // a success resets errors
-		hits[sequence(h, 1)[0]]++
+		hits[sequentialTargets(h, 1)[0]]++
 	}
 	return hits
 }
 
 // Endpoints without errors get equal shares of the requests.
-func TestPaperFairBaseline(t *testing.T) {
+func TestHealthyEndpointsGetEqualShares(t *testing.T) {
 	for id, n := range trafficShares(t, 0, 40) {
 		if n != 10 {
 			t.Errorf("endpoint %d got %d of 40 requests, want 10", id, n)
@@ -30,7 +30,7 @@
 }
 
 // The share of an endpoint falls with its consecutive errors, but never to zero.
-func TestPaperPenaltyReducesShareAndTheFloorHolds(t *testing.T) {
+func TestErrorsReduceTrafficShareButNotToZero(t *testing.T) {
 	none := trafficShares(t, 0, 400)[1]
 	some := trafficShares(t, 2, 400)[1]
 	many := trafficShares(t, 1000, 400)[1]
@@ -41,7 +41,7 @@
 }
 
 // The health multiplier rises with time after an error.
-func TestPaperTimeRecovery(t *testing.T) {
+func TestHealthMultiplierRecoversWithTime(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(2)...)
 	e := h.b.endpoints[0]
 	h.b.recordError(e, false)
@@ -57,7 +57,7 @@
 }
 
 // A retry is sent to the healthiest endpoint, even if another one is next in the rotation.
-func TestPaperRetryRecoversToBest(t *testing.T) {
+func TestRetryGoesToHealthiestEndpoint(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(3)...)
 	unhealthy := h.b.endpoints[1]
 	unhealthy.outlier.consecutiveErrors, unhealthy.outlier.lastErrorAt = 2, h.now
@@ -70,7 +70,7 @@
 
 // Errors of one endpoint do not affect the health of other endpoints, even in the same cell or of the same
 // machine type.
-func TestPaperIsolation(t *testing.T) {
+func TestErrorsDoNotAffectOtherEndpoints(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	for range 5 {
 		h.b.recordError(h.b.endpoints[0], false)
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -25,8 +25,8 @@
 	// is an upper bound and the time does not double.
 	minPollBackoff = 500
 
-	// maxBackoffDoublings is how many times the backoff and the timeout of calls to discovery double at
-	// most, once for each consecutive failure.
+	// maxBackoffDoublings is the maximum number of times that the backoff and the timeout of calls to
+	// discovery double, once for each consecutive failure.
 	maxBackoffDoublings = 4
 
 	// minWatchTimeout is the shortest time in ms to wait for the start of discovery's response to a call.
@@ -42,7 +42,7 @@
 	// agent is repeated.
 	minAgentBackoff = 20
 
-	// agentPollsPerDrainGrace is the least number of calls to a local discovery agent that are made within
+	// agentPollsPerDrainGrace is the minimum number of calls to a local discovery agent that are made within
 	// Config.DrainGrace while calls fail.
 	agentPollsPerDrainGrace = 4
 )
@@ -58,7 +58,7 @@
 	seed         uint64
 
 	failures      int     // consecutive failed calls
-	watching      bool    // a call was made and neither failed nor stalled since
+	watching      bool    // the last call to discovery has neither failed nor stalled
 	callStartedAt float64 // start of the pending call, in ms; +Inf after a response
 }
 
@@ -78,7 +78,7 @@
 func (p *pollSchedule) startCall(now float64) (timeout float64) {
 	p.watching = true
 	p.callStartedAt = now
-	wait := math.Max(minWatchTimeout, p.fleetCallTime()) * doublings(p.failures, maxBackoffDoublings)
+	wait := math.Max(minWatchTimeout, p.fleetCallTime()) * backoffFactor(p.failures, maxBackoffDoublings)
 	return math.Min(wait, maxWatchTimeout)
 }
 
@@ -94,7 +94,7 @@
 	return p.jitter(math.Min(p.fleetCallTime(), p.remainingTime(now, 0)))
 }
 
-// delayAfterFailure records a failed call and returns the delay of the next one, in ms. Calls of all
+// delayAfterFailure records a failed call and returns the delay of the next call, in ms. Calls of all
 // sidecars fail together, so the backoff is long enough for discovery to answer all of them.
 func (p *pollSchedule) delayAfterFailure(now float64) float64 {
 	p.watching = false
@@ -102,27 +102,27 @@
 	if p.localAgent {
 		return p.jitter(clamp(p.drainGrace/agentPollsPerDrainGrace, minAgentBackoff, minPollBackoff))
 	}
-	backoff := math.Max(minPollBackoff, p.fleetCallTime()) * doublings(p.failures-1, maxBackoffDoublings)
+	backoff := math.Max(minPollBackoff, p.fleetCallTime()) * backoffFactor(p.failures-1, maxBackoffDoublings)
 	return p.jitter(math.Min(p.remainingTime(now, 0), backoff))
 }
 
-// delayAfterStall records that the watch has stalled and returns the delay of the next call, in ms. Part of
-// the time to the notification deadline of missed changes has passed already, and the call needs some of
-// the rest.
+// delayAfterStall records that the watch has stalled and returns the delay of the next call, in ms. The time
+// that it took to notice the stall and the time for discovery's response count towards the notification
+// deadline of missed changes.
 func (p *pollSchedule) delayAfterStall(now float64) float64 {
 	p.watching = false
 	return p.jitter(math.Min(p.fleetCallTime(), p.remainingTime(now, stallDetectionTime)))
 }
 
 // remainingTime returns the time in ms within which the next call must start to meet the notification
-// deadline. Of the deadline, the given time has passed already, or the duration of the failed call if that
-// is longer: discovery may have been reachable again since the call started. A call that started more than
-// 2*maxWatchTimeout ago is left out: no failed call takes so long, so it must have been answered.
-func (p *pollSchedule) remainingTime(now, passed float64) float64 {
-	if call := now - p.callStartedAt; call < 2*maxWatchTimeout {
-		passed = math.Max(passed, call)
+// deadline. The given time of the deadline has elapsed already, or the duration of the failed call if the
+// call took longer: discovery may have been reachable again since the call started. A call that started more
+// than 2*maxWatchTimeout ago is ignored: no failed call takes so long, so the call must have been answered.
+func (p *pollSchedule) remainingTime(now, elapsed float64) float64 {
+	if callDuration := now - p.callStartedAt; callDuration < 2*maxWatchTimeout {
+		elapsed = math.Max(elapsed, callDuration)
 	}
-	return math.Max(minPollBackoff, notificationDeadline-discoveryResponseTime-passed)
+	return math.Max(minPollBackoff, notificationDeadline-discoveryResponseTime-elapsed)
 }
 
 // fleetCallTime returns the time in ms that discovery needs to answer one call of each sidecar. It is 0 for
@@ -136,7 +136,7 @@
 
 // jitter returns a random delay from 0 to the given span, both in ms. The span is limited to half of the
 // poll interval, because a sidecar that has not polled for an interval counts as notified of all changes.
-// The random number comes from a source of its own, so that calls to discovery do not influence how
+// The random number comes from a separate source, so that calls to discovery do not influence how
 // requests are routed.
 func (p *pollSchedule) jitter(span float64) float64 {
 	if p.pollInterval > 0 {
@@ -154,13 +154,13 @@
 // poll starts a watch of the endpoint list. A watch transfers changes only, which cost less than whole
 // lists.
 func (b *Balancer) poll() {
-	b.emit(Action{Kind: Watch, Delay: b.polls.startCall(b.now)})
+	b.emit(Action{Kind: Watch, Delay: b.pollSchedule.startCall(b.now)})
 }
 
-// handlePollTimer calls discovery, unless the address of discovery has changed since the timer was set: a
-// call was made then.
+// handlePollTimer calls discovery, unless the address of discovery has changed since the timer was set, as
+// discovery was called at the change.
 func (b *Balancer) handlePollTimer() {
-	if !b.polls.watching {
+	if !b.pollSchedule.watching {
 		b.poll()
 	}
 }
--- a/balance/discovery_poll_test.go
+++ b/balance/discovery_poll_test.go
@@ -86,7 +86,7 @@
 
 // Guards against synchronized polls. Discovery handles calls one after another, including calls that have
 // timed out already. When 80 sidecars that were started together polled at the same time, and again at the
-// same time after each failure, hardly any of them got a list for ten seconds.
+// same time after each failure, very few of them got a list for ten seconds.
 func TestPollsOfManySidecarsAreSpread(t *testing.T) {
 	const (
 		peers    = 80
@@ -162,8 +162,8 @@
 // A sidecar counts as notified of a change 6 s after discovery knew of the change and could be reached, even
 // if calls fail. The next call and its response must fit into this time after a failed call that began just
 // before discovery could be reached again (however and however often calls fail), after the start of the
-// process and after a stalled watch. Guards against two faults: after a call that hung for 3.5 s the next one
-// came up to 5 s later, and in a fleet of 100 sidecars the first call came 6 s after the start.
+// process and after a stalled watch. Guards against two faults: after a call that hung for 3.5 s the next
+// call came up to 5 s later, and in a fleet of 100 sidecars the first call came 6 s after the start.
 func TestNextPollPrecedesNotificationDeadline(t *testing.T) {
 	const deadline, responseTime, stallTime = 6000, 1000, 2500
 	worst := map[string]float64{} // longest time in ms until the list is known, by the cause of the wait
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -15,9 +15,9 @@
 func (b *Balancer) handleEndpointUpdate(event EndpointUpdate) {
 	switch event.Kind {
 	case WatchFailed:
-		b.schedulePoll(b.polls.delayAfterFailure(b.now))
+		b.schedulePoll(b.pollSchedule.delayAfterFailure(b.now))
 	case WatchStalled:
-		b.schedulePoll(b.polls.delayAfterStall(b.now))
+		b.schedulePoll(b.pollSchedule.delayAfterStall(b.now))
 	case SourceChanged:
 		b.poll()
 	case Snapshot, CachedSnapshot:
@@ -30,7 +30,7 @@
 
 // applyEndpoints applies entries of the endpoint list and rebuilds what depends on the list.
 func (b *Balancer) applyEndpoints(entries []Endpoint) {
-	b.polls.recordSuccess()
+	b.pollSchedule.recordSuccess()
 	for i := range entries {
 		b.updateEndpoint(&entries[i])
 	}
@@ -86,14 +86,14 @@
 
 // dropRemoved drops the removed endpoints and sorts the others by ID.
 func (b *Balancer) dropRemoved() {
-	kept := b.endpoints[:0]
+	remaining := b.endpoints[:0]
 	for _, e := range b.endpoints {
 		if e.Lifecycle == Removed {
 			delete(b.endpointByID, e.ID)
 		} else {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	sort.Slice(kept, func(i, j int) bool { return kept[i].ID < kept[j].ID })
-	b.endpoints = kept
+	sort.Slice(remaining, func(i, j int) bool { return remaining[i].ID < remaining[j].ID })
+	b.endpoints = remaining
 }
--- a/balance/event.go
+++ b/balance/event.go
@@ -45,7 +45,8 @@
 
 // The kinds of endpoint updates.
 const (
-	// Snapshot is the kind of an update with the whole endpoint list. Endpoints that it lacks are removed.
+	// Snapshot is the kind of an update with the whole endpoint list. Endpoints that the list does not
+	// contain are removed.
 	Snapshot UpdateKind = iota
 	// CachedSnapshot is the kind of an update with the whole endpoint list from an earlier time, for example
 	// from a cache.
--- a/balance/fleet_latency.go
+++ b/balance/fleet_latency.go
@@ -27,10 +27,10 @@
 // collects this sidecar's own responses for its next gossip message. All latencies are fractions of the
 // latency objective.
 type fleetLatency struct {
-	samples    float64 // number of responses, decayed
-	sum        float64 // sum of the latencies of these responses, decayed
-	updatedAt  float64
-	baseline   float64 // smallest mean so far
+	samples    float64 // exponentially decayed number of responses
+	sum        float64 // exponentially decayed sum of the latencies of responses
+	updatedAt  float64 // time at which samples and sum were last decayed, in ms
+	baseline   float64 // smallest mean latency so far
 	ownSamples float64 // number of this sidecar's responses since its last gossip message
 	ownSum     float64 // sum of the latencies of this sidecar's responses since its last gossip message
 }
@@ -47,8 +47,8 @@
 	l.updatedAt = now
 }
 
-// recordOwn counts one response of this sidecar.
-func (l *fleetLatency) recordOwn(now, latency float64) {
+// recordOwnResponse counts one response of this sidecar.
+func (l *fleetLatency) recordOwnResponse(now, latency float64) {
 	l.add(now, 1, latency)
 	l.ownSamples++
 	l.ownSum += l.limitLatency(latency)
@@ -59,7 +59,7 @@
 	return math.Min(latency, maxLatencyInBaselines*l.baseline)
 }
 
-// takeReport returns the report on this sidecar's responses since the last call and starts a new one.
+// takeReport returns the report on this sidecar's responses since the last call and starts a new report.
 func (l *fleetLatency) takeReport() latencyReport {
 	report := latencyReport{
 		samples:  uint8(math.Min(l.ownSamples, math.MaxUint8)),
@@ -70,9 +70,9 @@
 	return report
 }
 
-// merge counts the responses of another sidecar's report. A sidecar that has just started also moves its
-// baseline towards the reported one, as it has not yet seen how fast responses can be.
-func (l *fleetLatency) merge(now float64, report latencyReport, justStarted bool) {
+// mergeReport counts the responses of another sidecar's report. A sidecar that has just started has not yet
+// seen how fast responses can be, so it also moves its baseline towards the reported baseline.
+func (l *fleetLatency) mergeReport(now float64, report latencyReport, justStarted bool) {
 	if report.baseline > 0 && justStarted {
 		baseline := float64(report.baseline) / latencyUnitsPerObjective
 		l.baseline += (baseline - l.baseline) / baselineAdoptionSamples
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// minGossipPeers is the number of sidecars, this one included, from which on they send each other
+	// minGossipPeers is the minimum number of sidecars, this one included, for which sidecars send each other
 	// gossip. In smaller fleets each sidecar sees enough of the endpoints by itself.
 	minGossipPeers = 8
 
@@ -23,18 +23,18 @@
 	// relies on its own requests alone.
 	gossipTimeout = 400
 
-	// minGossipScopeFactor is the least number of endpoints about which a sidecar receives gossip, as a
-	// multiple of its smallest subset. It is above 1 because a subset grows while some of its endpoints are
-	// ejected.
+	// minGossipScopeFactor is the minimum number of endpoints about which a sidecar receives gossip, as a
+	// multiple of the size of its subset without traffic. The factor is above 1 because a subset grows while
+	// some of its endpoints are ejected.
 	minGossipScopeFactor = 2
 )
 
-// gossipState is what this sidecar has received from its peers. A single sidecar has so few requests that
-// alone it would learn too late which endpoints fail and how loaded they are.
+// gossipState is what this sidecar has received from its peers. From its own few requests alone, a sidecar
+// would learn too late which endpoints fail and how loaded they are.
 type gossipState struct {
 	peers          map[int]*peer        // by peer index; peers that have sent a valid message
 	lastReceivedAt float64              // time of the last message of any peer, in ms; 0 if there was none
-	refreshAt      float64              // when unchanged requests in flight are sent again, in ms
+	refreshAt      float64              // instant at which unchanged requests in flight are sent again, in ms
 	endpointByTag  map[uint16]*endpoint // by gossipTag; nil where endpoints share a tag
 	scopeBuffer    []*endpoint          // reused by gossipScope
 }
@@ -42,7 +42,7 @@
 // peer is what the last message of another sidecar said.
 type peer struct {
 	clock      uint32         // the sender's clock, in ms modulo 2^32
-	receivedAt float64        // on this sidecar's clock, in ms
+	receivedAt float64        // time of reception on this sidecar's clock, in ms
 	subsetSize int            // number of endpoints that the sender uses
 	inFlight   []peerInFlight // the sender's requests in flight
 }
@@ -58,20 +58,20 @@
 // gossipEnabled reports whether sidecars send each other gossip: if they may and there are enough of them.
 func (c *Config) gossipEnabled() bool { return c.Gossip && c.PeerCount >= minGossipPeers }
 
-// fresh reports whether a message of any peer came within gossipTimeout.
-func (g *gossipState) fresh(now float64) bool {
+// isFresh reports whether a message of any peer was received less than gossipTimeout ago.
+func (g *gossipState) isFresh(now float64) bool {
 	return g.lastReceivedAt > 0 && now-g.lastReceivedAt < gossipTimeout
 }
 
-// lost reports whether messages came once but none came within gossipTimeout.
-func (g *gossipState) lost(now float64) bool { return g.lastReceivedAt > 0 && !g.fresh(now) }
+// isLost reports whether messages were received before, but none less than gossipTimeout ago.
+func (g *gossipState) isLost(now float64) bool { return g.lastReceivedAt > 0 && !g.isFresh(now) }
 
 // indexTags maps each tag to its endpoint. A tag that several endpoints share is mapped to none of them.
 func (g *gossipState) indexTags(endpoints []*endpoint) {
 	g.endpointByTag = make(map[uint16]*endpoint, len(endpoints))
 	for _, e := range endpoints {
 		tag := gossipTag(e.ID)
-		if _, taken := g.endpointByTag[tag]; taken {
+		if _, duplicate := g.endpointByTag[tag]; duplicate {
 			g.endpointByTag[tag] = nil
 		} else {
 			g.endpointByTag[tag] = e
@@ -79,7 +79,7 @@
 	}
 }
 
-// expirePeers drops the requests in flight of peers whose last message has expired. Such a peer may have
+// expirePeers drops the requests in flight of each peer whose last message has expired, as the peer may have
 // died.
 func (g *gossipState) expirePeers(now float64) {
 	for _, p := range g.peers {
@@ -89,23 +89,23 @@
 	}
 }
 
-// replaceInFlight replaces a peer's requests in flight, as its previous message gave them, by the present
-// ones.
-func (p *peer) replaceInFlight(present []peerInFlight) {
-	for _, flight := range p.inFlight {
-		flight.endpoint.gossip.inFlightFromPeers -= flight.count
+// replaceInFlight replaces the requests in flight from a peer's previous message by the newly reported
+// requests in flight.
+func (p *peer) replaceInFlight(reported []peerInFlight) {
+	for _, entry := range p.inFlight {
+		entry.endpoint.gossip.inFlightFromPeers -= entry.count
 	}
-	for _, flight := range present {
-		flight.endpoint.gossip.inFlightFromPeers += flight.count
+	for _, entry := range reported {
+		entry.endpoint.gossip.inFlightFromPeers += entry.count
 	}
-	p.inFlight = present
+	p.inFlight = reported
 }
 
 // gossipClock returns this sidecar's clock as messages carry it, in ms modulo 2^32.
 func (b *Balancer) gossipClock() uint32 { return uint32(uint64(b.now)) }
 
-// scheduleGossip sets the timer for the next message. The delay is random, so that sidecars do not all send
-// at the same time.
+// scheduleGossip sets the timer for the next message. The delay is random, so that the sidecars send at
+// different times.
 func (b *Balancer) scheduleGossip() {
 	if b.cfg.gossipEnabled() {
 		delay := gossipInterval * (0.5 + b.random.float64())
@@ -137,21 +137,22 @@
 // appendGossip appends the endpoint's entry if there is anything to send and the message has room for it.
 // It marks the endpoint as changed if the entry tells peers something new or is due for a refresh.
 func (e *endpoint) appendGossip(data []byte, refresh bool) []byte {
-	inFlight, seen := min(e.inFlight, maxAnnouncedInFlight), e.gossip.observation
-	changed := inFlight != e.gossip.announcedInFlight || seen != (observation{})
+	inFlight, observed := min(e.inFlight, maxAnnouncedInFlight), e.gossip.observation
+	changed := inFlight != e.gossip.announcedInFlight || observed != (observation{})
 	e.gossip.changed = changed || refresh && inFlight > 0
 	e.gossip.announcedInFlight = 0
-	if inFlight == 0 && seen == (observation{}) || len(data)+gossipEntrySize > maxGossipSize {
+	if inFlight == 0 && observed == (observation{}) || len(data)+gossipEntrySize > maxGossipSize {
 		return data
 	}
 	e.gossip.announcedInFlight = inFlight
 	e.gossip.observation = observation{}
-	return appendGossipEntry(data, gossipEntry{tag: gossipTag(e.ID), inFlight: inFlight, seen: seen})
+	return appendGossipEntry(data,
+		gossipEntry{tag: gossipTag(e.ID), inFlight: inFlight, observation: observed})
 }
 
-// multicast sends a message to the peers that may use an endpoint that changed. Other peers do not get the
-// message: it would cost them something, and they have no use for entries on endpoints that they do not use.
-// A message to all peers is sent as one broadcast.
+// multicast sends a message to the peers that may use an endpoint marked as changed. Other peers do not get
+// the message, which has a cost for each receiver, because they have no use for entries on endpoints that
+// they do not use. A message to all peers is sent as one broadcast.
 func (b *Balancer) multicast(data []byte) {
 	first := len(b.actions)
 	for peer := range b.cfg.PeerCount {
@@ -164,13 +165,13 @@
 	}
 }
 
-// isInterested reports whether a peer may use an endpoint that changed, by the peer's position on the ring.
+// isInterested reports whether a peer may use an endpoint marked as changed, by the peer's ring position.
 func (b *Balancer) isInterested(peer int) bool {
 	scopeSize := b.minGossipScope()
 	if p := b.gossip.peers[peer]; p != nil {
 		scopeSize = max(scopeSize, p.subsetSize)
 	}
-	ring, start := b.subsets.position(peer, len(b.endpoints))
+	ring, start := b.subsets.ringPosition(peer, len(b.endpoints))
 	for i := range min(scopeSize, len(ring)) {
 		if ring[(start+i)%len(ring)].gossip.changed {
 			return true
@@ -179,8 +180,8 @@
 	return false
 }
 
-// minGossipScope returns the least number of endpoints, from a sidecar's position on the ring onwards, about
-// which the sidecar receives gossip.
+// minGossipScope returns the minimum number of endpoints about which a sidecar receives gossip. They are the
+// endpoints from the sidecar's position on its ring onwards.
 func (b *Balancer) minGossipScope() int {
 	return minGossipScopeFactor * int(math.Ceil(b.subsets.minSize(len(b.endpoints))))
 }
@@ -192,7 +193,7 @@
 	if scopeSize >= len(b.endpoints) {
 		return b.endpoints
 	}
-	ring, start := b.subsets.position(b.cfg.PeerIndex, len(b.endpoints))
+	ring, start := b.subsets.ringPosition(b.cfg.PeerIndex, len(b.endpoints))
 	scope := b.gossip.scopeBuffer[:0]
 	for i := range scopeSize {
 		scope = append(scope, ring[(start+i)%len(ring)])
@@ -208,8 +209,8 @@
 		return
 	}
 	header, entries, err := parseGossip(event.Data)
-	known := event.Sender >= 0 && event.Sender < b.cfg.PeerCount && b.cfg.gossipEnabled()
-	if err != nil || !known || !b.isNewGossip(event.Sender, header.clock) {
+	validSender := event.Sender >= 0 && event.Sender < b.cfg.PeerCount && b.cfg.gossipEnabled()
+	if err != nil || !validSender || !b.isNewGossip(event.Sender, header.clock) {
 		b.stats.GossipDropped++
 		return
 	}
@@ -222,12 +223,12 @@
 	b.gossip.lastReceivedAt = b.now
 	b.stats.GossipReceived++
 	justStarted := b.now < b.concurrency.startedAt+baselineAdoptionTime
-	b.concurrency.latency.merge(b.now, header.latency, justStarted)
+	b.concurrency.latency.mergeReport(b.now, header.latency, justStarted)
 	p.replaceInFlight(b.mergeGossipEntries(event.Sender, entries))
 }
 
-// isNewGossip reports whether a message is recent and newer than the sender's last one. It compares the
-// clock of the message, which wraps around, with this sidecar's clock and with that of the sender's last
+// isNewGossip reports whether a message is recent and newer than the sender's last message. It compares the
+// clock of the message, which wraps around, with this sidecar's clock and with the clock of the sender's last
 // message.
 func (b *Balancer) isNewGossip(sender int, clock uint32) bool {
 	age := int32(b.gossipClock() - clock)
@@ -250,7 +251,7 @@
 		if entry.inFlight > 0 {
 			inFlight = append(inFlight, peerInFlight{endpoint: e, count: float64(entry.inFlight)})
 		}
-		b.mergeObservation(e, sender, entry.seen)
+		b.mergeObservation(e, sender, entry.observation)
 	}
 	return inFlight
 }
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -68,9 +68,9 @@
 
 // gossipEntry is the part of a gossip message about one endpoint.
 type gossipEntry struct {
-	tag      uint16      // see gossipTag
-	inFlight int         // the sender's requests in flight at the endpoint
-	seen     observation // what the sender saw of the endpoint since its last message
+	tag         uint16      // see gossipTag
+	inFlight    int         // the sender's requests in flight at the endpoint
+	observation observation // what the sender saw of the endpoint since its last message
 }
 
 // appendGossipHeader appends the encoded header of a message to data.
@@ -83,11 +83,12 @@
 // appendGossipEntry appends an encoded entry to data. The entry's inFlight must not exceed
 // maxAnnouncedInFlight; more failures than maxAnnouncedFailures are encoded as maxAnnouncedFailures.
 func appendGossipEntry(data []byte, entry gossipEntry) []byte {
-	bits := uint8(entry.inFlight)<<inFlightShift | uint8(math.Min(entry.seen.failures, maxAnnouncedFailures))
-	if entry.seen.responded {
+	bits := uint8(entry.inFlight)<<inFlightShift |
+		uint8(math.Min(entry.observation.failures, maxAnnouncedFailures))
+	if entry.observation.responded {
 		bits |= respondedFlag
 	}
-	if entry.seen.unreachable {
+	if entry.observation.unreachable {
 		bits |= unreachableFlag
 	}
 	data = binary.BigEndian.AppendUint16(data, entry.tag)
@@ -115,7 +116,7 @@
 	return gossipEntry{
 		tag:      binary.BigEndian.Uint16(entries),
 		inFlight: int(bits >> inFlightShift),
-		seen: observation{
+		observation: observation{
 			failures:    float64(bits & maxAnnouncedFailures),
 			responded:   bits&respondedFlag != 0,
 			unreachable: bits&unreachableFlag != 0,
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -88,10 +88,10 @@
 	return peer, peer.b.endpointByID[e.ID]
 }
 
-// A message goes to the sidecars that use an endpoint it contains, and to those that received the previous
-// message and would otherwise keep the state that it gave. Guards against needless cost: each message costs
-// its receiver something, and each of 300 sidecars received gossip of all others, few of which used any of
-// its endpoints.
+// A message goes to the sidecars that use an endpoint in the message, and to the sidecars that received the
+// previous message and would otherwise keep the state from that message. Guards against needless cost: each
+// message costs its receiver something, and each of 300 sidecars received gossip of all others, few of which
+// used any of its endpoints.
 func TestGossipGoesToInterestedPeersOnly(t *testing.T) {
 	const peers = 300
 	config := func(peerIndex int) Config {
@@ -155,7 +155,7 @@
 	cfg := gossipConfig(0)
 	cfg.PeerCount = 300
 	h := newHarness(t, cfg, newEndpoints(200)...)
-	ring, start := h.b.subsets.position(busyPeer, len(h.b.endpoints))
+	ring, start := h.b.subsets.ringPosition(busyPeer, len(h.b.endpoints))
 	far := ring[(start+h.b.minGossipScope()+3)%len(ring)]
 	far.inFlight = 1
 	before := h.sendsGossipTo(busyPeer)
@@ -201,9 +201,9 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, gossipConfig(0), newEndpoints(4)...)
 			actions := h.handle(message)
-			if len(actions) != 0 || h.b.Stats().GossipDropped != 1 || h.b.gossip.fresh(h.b.now) {
+			if len(actions) != 0 || h.b.Stats().GossipDropped != 1 || h.b.gossip.isFresh(h.b.now) {
 				t.Errorf("%d messages dropped, want 1; actions %v, want none; fresh gossip %v, want false",
-					h.b.Stats().GossipDropped, actions, h.b.gossip.fresh(h.b.now))
+					h.b.Stats().GossipDropped, actions, h.b.gossip.isFresh(h.b.now))
 			}
 			for _, e := range h.b.endpoints {
 				if e.gossip.inFlightFromPeers != 0 {
@@ -229,12 +229,12 @@
 // Each message costs its receiver something, so nothing is sent if gossip is disabled, if there are too few
 // sidecars, or if nothing has changed.
 func TestOnlyChangesAreGossiped(t *testing.T) {
-	for name, tune := range map[string]func(*Config){
+	for name, modify := range map[string]func(*Config){
 		"gossip disabled": func(cfg *Config) { cfg.Gossip = false },
 		"too few peers":   func(cfg *Config) { cfg.PeerCount = minGossipPeers - 1 },
 	} {
 		cfg := gossipConfig(0)
-		tune(&cfg)
+		modify(&cfg)
 		if h := newHarness(t, cfg, newEndpoints(4)...); len(h.actions) != 0 {
 			t.Errorf("%s: actions %+v at the start, want none", name, h.actions)
 		}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -140,7 +140,7 @@
 func (h *harness) dueTimers() []Timer {
 	var timers []Timer
 	for id := RequestID(1); id <= h.lastID; id++ {
-		if r := h.b.requests[id]; r != nil && r.wakeAt <= h.now && !r.closed {
+		if r := h.b.requests[id]; r != nil && r.timerAt <= h.now && !r.closed {
 			timers = append(timers, Timer{Token: uint64(id)})
 		}
 	}
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -63,30 +63,30 @@
 	}
 	fanout := b.healthChecks.fanout(b.cfg.Penalties.HealthCheck)
 	pool := b.subset()
-	for len(r.checked) < fanout {
+	for len(r.checkedEndpoints) < fanout {
 		next := b.nextToCheck(r, pool)
 		if next == nil {
 			break
 		}
-		r.checked = append(r.checked, next)
-		if !next.check.pending {
-			next.check.pending = true
+		r.checkedEndpoints = append(r.checkedEndpoints, next)
+		if !next.healthCheck.pending {
+			next.healthCheck.pending = true
 			b.emit(Action{Kind: HealthCheck, Endpoint: next.ID})
 		}
 	}
-	if len(r.checked) == 0 { // nothing to wait for, and no result that would end the wait
+	if len(r.checkedEndpoints) == 0 { // nothing to wait for, and no result that would end the wait
 		return
 	}
-	r.checksUntil = b.now + maxHealthCheckWait*r.class.LatencyObjective
+	r.checkWaitUntil = b.now + maxHealthCheckWait*r.class.LatencyObjective
 	b.healthChecks.waiting = append(b.healthChecks.waiting, r)
 }
 
 // nextToCheck returns the endpoint of the pool that is next in the rotation, is eligible for the request,
-// not ejected and not among its checked endpoints. It returns nil if there is none.
+// not ejected and not among the request's checked endpoints. It returns nil if there is no such endpoint.
 func (b *Balancer) nextToCheck(r *request, pool []*endpoint) *endpoint {
 	var next *endpoint
 	for _, e := range pool {
-		if !b.eligible(r, e) || e.outlier.ejected(b.now) || slices.Contains(r.checked, e) {
+		if !b.eligible(r, e) || e.outlier.ejected(b.now) || slices.Contains(r.checkedEndpoints, e) {
 			continue
 		}
 		if next == nil || e.rotation.currentWeight > next.rotation.currentWeight {
@@ -103,7 +103,7 @@
 	if e == nil {
 		return
 	}
-	e.check.pending = false
+	e.healthCheck.pending = false
 	if event.Result == OK {
 		b.recordLoadReport(e, event.LoadReport)
 		if e.outlier.unreachable {
@@ -123,8 +123,9 @@
 			continue
 		}
 		if value := report[i]; value >= 0 && value <= math.MaxFloat32 {
-			e.check.inFlight, e.check.reportedAt, e.check.sentSinceReport = float64(value), b.now, 0
-			busy := math.Min(e.check.inFlight, 1)
+			e.healthCheck.inFlight, e.healthCheck.reportedAt, e.healthCheck.sentSinceReport =
+				float64(value), b.now, 0
+			busy := math.Min(e.healthCheck.inFlight, 1)
 			b.healthChecks.busyFraction += (busy - b.healthChecks.busyFraction) / busyFractionSamples
 		}
 	}
@@ -132,28 +133,30 @@
 
 // hasFreshReport reports whether the endpoint's last load report is recent enough to be used.
 func (b *Balancer) hasFreshReport(e *endpoint) bool {
-	return e.check.reportedAt > 0 && b.now-e.check.reportedAt <= loadReportLifetime*b.longestObjective
+	return e.healthCheck.reportedAt > 0 &&
+		b.now-e.healthCheck.reportedAt <= loadReportLifetime*b.longestObjective
 }
 
 // awaitsHealthChecks reports whether a request still waits for its health checks. The wait ends with the
-// last result or at checksUntil, whichever comes first.
+// last result or at checkWaitUntil, whichever comes first.
 func (b *Balancer) awaitsHealthChecks(r *request) bool {
-	for _, e := range r.checked {
-		if e.check.pending && b.now < r.checksUntil {
+	for _, e := range r.checkedEndpoints {
+		if e.healthCheck.pending && b.now < r.checkWaitUntil {
 			return true
 		}
 	}
-	r.checksUntil = 0
+	r.checkWaitUntil = 0
 	return false
 }
 
-// resumeWaiting advances the requests that wait for health checks and keeps those that still wait.
+// resumeWaiting processes the requests that wait for health checks, and removes the requests that no longer
+// wait from the list.
 func (b *Balancer) resumeWaiting() {
 	waiting := b.healthChecks.waiting
 	b.healthChecks.waiting = waiting[:0]
 	for _, r := range waiting {
-		b.advance(r)
-		if !r.closed && r.checksUntil > b.now {
+		b.processRequest(r)
+		if !r.closed && r.checkWaitUntil > b.now {
 			b.healthChecks.waiting = append(b.healthChecks.waiting, r)
 		}
 	}
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// An endpoint whose health check reports many requests is passed over. A sidecar with little traffic cannot
+// An endpoint whose health check reports many requests is not picked. A sidecar with little traffic cannot
 // see from its own requests which endpoints other sidecars keep busy.
 func TestQueuedEndpointIsSkippedAfterHealthCheck(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
@@ -94,7 +94,7 @@
 func TestWaitForHealthChecksIsBounded(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), newEndpoints(3)...)
 	id, _ := h.request(idempotentClass)
-	h.now = h.b.requests[id].wakeAt
+	h.now = h.b.requests[id].timerAt
 	actions := h.handle(Timer{Token: uint64(id)})
 	if !hasAction(actions, StartAttempt) || h.now > 1000+0.1*300 {
 		t.Fatalf("at %v ms: actions %+v, want an attempt by %v ms", h.now, actions, 1000+0.1*300)
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -6,7 +6,7 @@
 )
 
 // invariantChecker passes random valid events to one balancer and checks each action for these invariants:
-//   - attempts are sent only to listed endpoints that are ready, and no more of them than the settings allow;
+//   - attempts are sent only to listed endpoints that are ready, and at most as many as the settings allow;
 //   - a request does not run more often than its idempotency allows;
 //   - each request gets one final response in time, and is rejected only if a client's retry is safe.
 type invariantChecker struct {
@@ -70,7 +70,7 @@
 		if seed%4 == 1 {
 			cfg.HealthChecks = true
 			cfg.ReportSource = ReportHealthCheck
-			cfg.ReportFields = []ReportField{FieldInFlight, FieldQueue, FieldUtil}
+			cfg.ReportFields = []ReportField{FieldInFlight, FieldQueue, FieldUtilization}
 		}
 		c := newInvariantChecker(t, random, cfg)
 		c.updateEndpoints(CachedSnapshot)
--- a/balance/numeric.go
+++ b/balance/numeric.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// clamp returns v limited to the range from least to most.
-func clamp(v, least, most float64) float64 { return math.Max(least, math.Min(most, v)) }
+// clamp returns v limited to the range from lower to upper.
+func clamp(v, lower, upper float64) float64 { return math.Max(lower, math.Min(upper, v)) }
 
-// clampNonNegative returns v limited to the range from 0 to most, and 0 if v is not a number.
-func clampNonNegative(v, most float64) float64 {
+// clampNonNegative returns v limited to the range from 0 to upper, and 0 if v is not a number.
+func clampNonNegative(v, upper float64) float64 {
 	if !(v > 0) {
 		return 0
 	}
-	return math.Min(v, most)
+	return math.Min(v, upper)
 }
 
-// sanitize sets to zero every value that is negative, infinite or not a number.
-func sanitize(values ...*float64) {
+// zeroInvalid sets to zero every value that is negative, infinite or not a number.
+func zeroInvalid(values ...*float64) {
 	for _, v := range values {
 		*v = clampNonNegative(*v, math.Inf(1))
 		if math.IsInf(*v, 1) {
@@ -23,6 +23,6 @@
 	}
 }
 
-// doublings returns 2^n, with n limited to maxDoublings. It is the factor by which a backoff has grown after
-// n repetitions.
-func doublings(n, maxDoublings int) float64 { return float64(int(1) << min(n, maxDoublings)) }
+// backoffFactor returns the factor by which a backoff or another duration has grown after n doublings, of
+// which at most maxDoublings count.
+func backoffFactor(n, maxDoublings int) float64 { return float64(int(1) << min(n, maxDoublings)) }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -5,9 +5,9 @@
 	// endpoint after which the endpoint is ejected. A failed connection attempt ejects at once.
 	consecutiveErrorsToEject = 3
 
-	// maxEjectionDoublings is how many times the duration of an endpoint's ejection doubles at most, once
-	// for each earlier ejection since the endpoint's last response. Without an earlier one, an ejection
-	// lasts for the longest latency objective of all classes.
+	// maxEjectionDoublings is the maximum number of times that the duration of an endpoint's ejection
+	// doubles, once for each earlier ejection since the endpoint's last response. The first ejection lasts
+	// for the longest latency objective of all classes.
 	maxEjectionDoublings = 3
 
 	// failedConnectsToPresumeDead is the number of failed connection attempts after which the process of an
@@ -31,8 +31,8 @@
 // clear resets the state after a response or a restart.
 func (o *outlierState) clear() { *o = outlierState{} }
 
-// ejected reports whether the endpoint is ejected, as several attempts got no response or it is unreachable.
-// It gets no requests then while other endpoints can take them. After the ejection it is used again.
+// ejected reports whether the endpoint is ejected because of errors, a failed health check or gossip. An
+// ejected endpoint gets no requests while other endpoints can take them. It is used again after the ejection.
 func (o *outlierState) ejected(now float64) bool { return now < o.ejectedUntil }
 
 // recordError counts one more consecutive error.
@@ -68,7 +68,8 @@
 // eject ejects an endpoint. The ejection lasts for the longest latency objective of all classes, doubled
 // for each earlier ejection since the endpoint's last response.
 func (b *Balancer) eject(e *endpoint) {
-	e.outlier.ejectedUntil = b.now + b.longestObjective*doublings(e.outlier.ejections, maxEjectionDoublings)
+	e.outlier.ejectedUntil = b.now +
+		b.longestObjective*backoffFactor(e.outlier.ejections, maxEjectionDoublings)
 	e.outlier.ejections++
 }
 
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -7,11 +7,11 @@
 	// that sidecars saw there are forgotten.
 	evidenceExpiry = 4000
 
-	// fleetFailuresToEject is the number of failures at an endpoint, counted over all sidecars, from which
-	// on the endpoint is ejected, provided that more than one sidecar reported them.
+	// fleetFailuresToEject is the number of failures at an endpoint, counted over all sidecars, at which the
+	// endpoint is ejected, provided that more than one sidecar reported failures.
 	fleetFailuresToEject = 3
 
-	// maxFleetFailures is the number of failures of all sidecars at one endpoint that are counted at most.
+	// maxFleetFailures is the upper bound on the count of failures that all sidecars saw at one endpoint.
 	// The bound keeps an endpoint that works again from staying ejected for long.
 	maxFleetFailures = 6
 
@@ -28,8 +28,7 @@
 	minExtensionRatio = 0.25
 )
 
-// outlierEvidence is what all sidecars, as far as this one has their gossip, recently saw of one endpoint.
-// It includes this sidecar's own observations.
+// outlierEvidence is what this sidecar and the peers whose gossip it received recently saw of one endpoint.
 type outlierEvidence struct {
 	failures     float64 // recent failures; reduced by each response
 	updatedAt    float64 // last update, in ms
@@ -45,7 +44,7 @@
 	unreachable bool    // at least one failure was a failed connection attempt
 }
 
-// expire drops evidence that is too old and marks the rest as updated now.
+// expire drops evidence older than evidenceExpiry and sets the time of the last update to now.
 func (v *outlierEvidence) expire(now float64) {
 	if now-v.updatedAt > evidenceExpiry {
 		*v = outlierEvidence{}
@@ -54,64 +53,64 @@
 }
 
 // addFailures adds the failures that a sidecar, given by its peer index, has seen.
-func (v *outlierEvidence) addFailures(reporter int, seen observation) {
-	if seen.failures <= 0 {
+func (v *outlierEvidence) addFailures(reporter int, observed observation) {
+	if observed.failures <= 0 {
 		return
 	}
 	v.corroborated = v.corroborated || v.failures > 0 && reporter != v.lastReporter
-	v.failures = math.Min(v.failures+seen.failures, maxFleetFailures)
+	v.failures = math.Min(v.failures+observed.failures, maxFleetFailures)
 	v.lastReporter = reporter
-	v.unreachable = v.unreachable || seen.unreachable
+	v.unreachable = v.unreachable || observed.unreachable
 }
 
-// failing reports whether more than one sidecar recently saw failures, with hardly any responses in
-// between.
-func (v *outlierEvidence) failing(now float64) bool {
+// isFailing reports whether more than one sidecar recently saw failures, of which at least
+// fleetFailuresToEject still count after the reductions for responses in between.
+func (v *outlierEvidence) isFailing(now float64) bool {
 	return v.failures >= fleetFailuresToEject && v.corroborated && now-v.updatedAt <= evidenceExpiry
 }
 
-// down reports whether the endpoint's process appears to have died: the endpoint is failing and at least
-// one connection attempt failed.
-func (v *outlierEvidence) down(now float64) bool { return v.unreachable && v.failing(now) }
+// appearsDead reports whether the endpoint's process appears to have died: the endpoint is failing and at
+// least one connection attempt failed.
+func (v *outlierEvidence) appearsDead(now float64) bool { return v.unreachable && v.isFailing(now) }
 
 // recordObservation records what this sidecar saw of an endpoint, both for its own use and for its next
 // gossip message. Responses are gossiped only if failures preceded them.
-func (b *Balancer) recordObservation(e *endpoint, seen observation) {
+func (b *Balancer) recordObservation(e *endpoint, observed observation) {
 	pending := &e.gossip.observation
-	pending.failures += seen.failures
-	pending.responded = pending.responded || seen.responded && e.evidence.failures > 0
-	pending.unreachable = pending.unreachable || seen.unreachable
-	b.mergeObservation(e, b.cfg.PeerIndex, seen)
+	pending.failures += observed.failures
+	pending.responded = pending.responded || observed.responded && e.evidence.failures > 0
+	pending.unreachable = pending.unreachable || observed.unreachable
+	b.mergeObservation(e, b.cfg.PeerIndex, observed)
 }
 
 // mergeObservation adds what a sidecar, given by its peer index, saw of an endpoint to the evidence. An
 // endpoint at which more than one sidecar saw failures is ejected even if this sidecar has sent it nothing.
 // It stays ejected while peers report failures, and is used again once peers report responses.
-func (b *Balancer) mergeObservation(e *endpoint, reporter int, seen observation) {
+func (b *Balancer) mergeObservation(e *endpoint, reporter int, observed observation) {
 	e.evidence.expire(b.now)
-	e.evidence.addFailures(reporter, seen)
-	wasDown := e.evidence.down(b.now)
-	if seen.responded {
+	e.evidence.addFailures(reporter, observed)
+	appearedDead := e.evidence.appearsDead(b.now)
+	if observed.responded {
 		e.evidence.failures *= failureDecayFactor
 	}
 	if reporter != b.cfg.PeerIndex {
-		b.applyPeerObservation(e, seen)
+		b.applyPeerObservation(e, observed)
 	}
-	if wasDown && !e.evidence.down(b.now) && !b.slowStart.warmingUp(e, b.now) {
+	if appearedDead && !e.evidence.appearsDead(b.now) && !b.slowStart.warmingUp(e, b.now) {
 		b.beginSlowStart(e, b.now) // discovery has not reported the restart yet
 	}
 }
 
 // applyPeerObservation ejects an endpoint, or extends or ends its ejection, after a peer's observation.
-func (b *Balancer) applyPeerObservation(e *endpoint, seen observation) {
-	failing, failed, ejected := e.evidence.failing(b.now), seen.failures > 0, e.outlier.ejected(b.now)
+func (b *Balancer) applyPeerObservation(e *endpoint, observed observation) {
+	failing, failed, ejected := e.evidence.isFailing(b.now), observed.failures > 0, e.outlier.ejected(b.now)
 	switch {
 	case failing && failed && ejected:
 		extension := maxEjectionExtension * (minExtensionRatio + (1-minExtensionRatio)*b.random.float64())
 		e.outlier.ejectedUntil = math.Max(e.outlier.ejectedUntil, b.now+extension)
 	case failing && failed && !b.mostEjected():
 		b.eject(e)
-	case !failing && seen.responded && ejected:
+	case !failing && observed.responded && ejected:
 		e.outlier.ejectedUntil = b.now
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Gossip must not eject more than half of the endpoints: where most fail, the cause is unlikely to lie in
-// them.
+// Gossip must not eject more than half of the endpoints: where most endpoints fail, the cause is unlikely to
+// lie in the endpoints.
 func TestGossipEjectsAtMostHalfOfEndpoints(t *testing.T) {
 	h := newHarness(t, gossipConfig(0), newEndpoints(8)...)
 	ejected := 0
@@ -45,7 +45,7 @@
 
 // Guards against counting congestion as errors of endpoints: in a congested fleet all responses are late.
 // Once the responses of a class are known to be slow, an attempt of 430 ms with a latency objective of 300 ms
-// is no error, but an attempt far slower than all others is one.
+// is no error, but an attempt far slower than all others is an error.
 func TestLatenessUnderCongestionIsNoError(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	latencies := []float64{370, 430, 400}
@@ -57,8 +57,8 @@
 		latency := latencies[i%3]
 		end := h.now + latency
 		r := h.b.requests[id]
-		for !r.closed && r.wakeAt < end {
-			h.now = r.wakeAt
+		for !r.closed && r.timerAt < end {
+			h.now = r.timerAt
 			h.handle(Timer{Token: uint64(id)})
 		}
 		h.now = end
@@ -69,7 +69,7 @@
 	}
 	id, _ := h.request(nonIdempotentClass)
 	r := h.b.requests[id]
-	h.now = r.wakeAt
+	h.now = r.timerAt
 	if h.now >= r.deadline {
 		t.Fatal("no timer for the attempt before the request's deadline")
 	}
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -31,9 +31,9 @@
 	m.decay(now)
 	slowDecayTime := slowDecayObjectives * m.fastDecayTime
 	observedFraction := -math.Expm1((m.startedAt - now) / slowDecayTime)
-	slow := (m.slowCount + assumed) / slowDecayTime / math.Max(observedFraction, 1e-3)
-	fast := (m.fastCount - 2*math.Sqrt(m.fastCount)) / m.fastDecayTime
-	return math.Max(slow, fast)
+	slowRate := (m.slowCount + assumed) / slowDecayTime / math.Max(observedFraction, 1e-3)
+	fastRate := (m.fastCount - 2*math.Sqrt(m.fastCount)) / m.fastDecayTime
+	return math.Max(slowRate, fastRate)
 }
 
 func (m *rateMeter) decay(now float64) {
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,25 +5,25 @@
 	"math"
 )
 
-// picksPerObjective is the number of times per latency objective at which a request that waits for an
-// endpoint tries again to get one.
+// picksPerObjective is the number of times per latency objective that the balancer tries again to pick an
+// endpoint for a request that waits for an endpoint.
 const picksPerObjective = 20
 
 // request is a client's request from its arrival until it is closed and its last attempt has ended.
 type request struct {
 	Request
-	class       *Class
-	classStats  *classStats
-	tenant      *serviceTally
-	arrivedAt   float64 // instant of arrival, ms
-	deadline    float64 // instant by which the client must be answered, ms
-	attempts    []attempt
-	inFlight    int         // number of attempts that have not ended
-	closed      bool        // the request was answered, or its client has gone
-	streaming   bool        // the response has begun to reach the client
-	wakeAt      float64     // instant at which the request's next timer is due, ms; +Inf if none is set
-	checked     []*endpoint // endpoints whose health is checked before the first attempt
-	checksUntil float64     // instant up to which the request waits for health checks, ms; 0 if it does not
+	class            *Class
+	classStats       *classStats
+	tenant           *serviceTally
+	arrivedAt        float64 // instant of arrival, ms
+	deadline         float64 // instant by which the client must be answered, ms
+	attempts         []attempt
+	inFlight         int         // number of attempts that have not ended
+	closed           bool        // the request was answered, or its client has gone
+	streaming        bool        // the response has begun to reach the client
+	timerAt          float64     // instant at which the request's next timer is due, ms; +Inf if none is set
+	checkedEndpoints []*endpoint // endpoints whose health is checked before the first attempt
+	checkWaitUntil   float64     // instant at which the wait for health checks ends, ms; 0 if none
 }
 
 // handleRequest admits a request and starts its first attempt, or rejects it.
@@ -45,7 +45,7 @@
 		return nil
 	}
 	b.startHealthChecks(r)
-	b.advance(r)
+	b.processRequest(r)
 	return nil
 }
 
@@ -59,7 +59,7 @@
 		tenant:     b.demand.tenant(event.Tenant),
 		arrivedAt:  b.now,
 		deadline:   math.Min(b.now+clampNonNegative(event.Timeout, class.Deadline), b.shutdownAt),
-		wakeAt:     math.Inf(1),
+		timerAt:    math.Inf(1),
 	}
 }
 
@@ -69,9 +69,9 @@
 	r.tenant.requested++
 }
 
-// advance takes the next step of a request: it starts an attempt, answers the request, or sets a timer for
-// the next step.
-func (b *Balancer) advance(r *request) {
+// processRequest takes the next step of a request: it starts an attempt, answers the request, or sets a timer
+// for the next step.
+func (b *Balancer) processRequest(r *request) {
 	if r.closed || r.streaming {
 		return
 	}
@@ -89,7 +89,7 @@
 	b.scheduleTimer(r)
 }
 
-// countUnserved counts a request that is given up, by whether it had any attempt.
+// countUnserved counts a request that is given up, in separate counts for requests with and without attempts.
 func (b *Balancer) countUnserved(r *request) {
 	if len(r.attempts) > 0 {
 		b.stats.RetriesExhausted++
@@ -141,8 +141,8 @@
 // due by then already.
 func (b *Balancer) scheduleTimer(r *request) {
 	next := r.deadline
-	if r.checksUntil > b.now {
-		next = math.Min(next, r.checksUntil)
+	if r.checkWaitUntil > b.now {
+		next = math.Min(next, r.checkWaitUntil)
 	} else if r.inFlight == 0 {
 		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyObjective/picksPerObjective))
 	}
@@ -152,17 +152,17 @@
 			next = math.Min(next, a.sentAt+r.overdueAfter())
 		}
 	}
-	if next < r.wakeAt {
-		r.wakeAt = next
+	if next < r.timerAt {
+		r.timerAt = next
 		b.emit(Action{Kind: SetTimer, Token: uint64(r.ID), Delay: math.Max(0, next-b.now)})
 	}
 }
 
-// handleRequestTimer takes the next step of a request whose timer is due. It does not compare the instant for
-// which the timer was set with the clock, as rounding errors may make the timer early.
+// handleRequestTimer takes the next step of a request whose timer is due. It does not compare the clock with
+// the instant for which the timer was set, because the timer may be early by a rounding error.
 func (b *Balancer) handleRequestTimer(id RequestID) {
 	if r := b.requests[id]; r != nil {
-		r.wakeAt = math.Inf(1)
-		b.advance(r)
+		r.timerAt = math.Inf(1)
+		b.processRequest(r)
 	}
 }
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -42,7 +42,7 @@
 func TestEarlyTimerIsRescheduled(t *testing.T) {
 	h := newHarness(t, baseConfig(), newEndpoints(4)...)
 	id, _ := h.request(nonIdempotentClass)
-	h.now = h.b.requests[id].wakeAt - 1e-4
+	h.now = h.b.requests[id].timerAt - 1e-4
 	if actions := h.handle(Timer{Token: uint64(id)}); !hasAction(actions, SetTimer) {
 		t.Fatalf("early timer: got actions %+v, want another timer", actions)
 	}
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -34,22 +34,22 @@
 // exhausted reports whether less than one retry is left.
 func (t *retryBudget) exhausted() bool { return t.tokens < 1 }
 
-// retryExhausted reports whether the request may have no further attempt, or a further one would be of no
+// retryExhausted reports whether the request may have no further attempt, or a further attempt would be of no
 // use. An attempt after the latency objective is of no use if the request can safely be rejected and its
 // remaining value is at most the fraction of the load that is shed.
 func (b *Balancer) retryExhausted(r *request) bool {
-	made := len(r.attempts)
-	if made >= b.cfg.MaxAttempts || made > maxRetries {
+	attemptCount := len(r.attempts)
+	if attemptCount >= b.cfg.MaxAttempts || attemptCount > maxRetries {
 		return true
 	}
-	if made > 0 && b.retryBudget.exhausted() {
+	if attemptCount > 0 && b.retryBudget.exhausted() {
 		return true
 	}
 	if r.executionForbidsRetry(b.now) {
 		return true
 	}
 	late := b.now >= r.arrivedAt+r.class.LatencyObjective
-	return late && b.safeToReject(r) && r.class.LateWeight <= b.shedder.baseFraction
+	return late && b.safeToReject(r) && r.class.LateWeight <= b.shedder.baseShedFraction
 }
 
 // executionForbidsRetry reports whether the request must not be retried because an attempt may have run and
@@ -153,7 +153,7 @@
 	if !b.cfg.CancelAttempts || r.class.Idempotency != Idempotent || r.inFlight != 1 {
 		return false
 	}
-	if b.shedder.baseFraction > 0 || b.retryExhausted(r) {
+	if b.shedder.baseShedFraction > 0 || b.retryExhausted(r) {
 		return false
 	}
 	if b.now+r.classStats.meanLatency > r.arrivedAt+r.class.LatencyObjective {
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -136,7 +136,7 @@
 			}
 			id, actions := h.request(c.class)
 			first, _ := attemptTarget(actions)
-			h.b.shedder.baseFraction = c.shed
+			h.b.shedder.baseShedFraction = c.shed
 			h.now += c.age
 			actions = h.handle(Timer{Token: uint64(id)})
 			if hasAction(actions, StartAttempt) || hasAction(actions, CancelAttempt) != c.retried {
@@ -175,7 +175,7 @@
 			h.finishAttempt(id, 1, ServerError, 1)
 		}
 	}
-	if most := int(retryBudgetBurst + retryBudgetRatio*requests); retries < most/2 || retries > most {
-		t.Fatalf("%d of %d requests were retried, want %d to %d", retries, requests, most/2, most)
+	if limit := int(retryBudgetBurst + retryBudgetRatio*requests); retries < limit/2 || retries > limit {
+		t.Fatalf("%d of %d requests were retried, want %d to %d", retries, requests, limit/2, limit)
 	}
 }
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -117,27 +117,28 @@
 	if !e.rotation.loadKnown {
 		return true
 	}
-	share := math.Ceil(boundedLoadFactor * load.inFlight * e.rotation.weight / load.weight)
-	if b.knownInFlight(e)+1 > share {
+	boundedShare := math.Ceil(boundedLoadFactor * load.inFlight * e.rotation.weight / load.weight)
+	if b.knownInFlight(e)+1 > boundedShare {
 		return true
 	}
-	return b.gossip.fresh(b.now) && b.atCapacity(e)
+	return b.gossip.isFresh(b.now) && b.atCapacity(e)
 }
 
-// ranksBefore reports whether an endpoint is picked rather than the best one so far, which is overloaded if
-// and only if the endpoint is. Among overloaded endpoints a first attempt goes to the one with the fewest
-// requests in flight for its weight. Otherwise the higher current weight wins, and for a retry the better
-// health.
+// ranksBefore reports whether endpoint e is picked rather than the best endpoint so far, where either both
+// endpoints are overloaded or neither. Among overloaded endpoints a first attempt goes to the endpoint with
+// the fewest requests in flight for its weight. Otherwise a first attempt goes to the endpoint with the
+// higher current weight, and a retry to the endpoint with the better health or, at equal health, with the
+// higher current weight.
 func (b *Balancer) ranksBefore(e, best *endpoint, retry, overloaded bool) bool {
 	if overloaded && !retry {
 		return (b.knownInFlight(e)+1)*best.rotation.weight < (b.knownInFlight(best)+1)*e.rotation.weight
 	}
-	ahead := e.rotation.currentWeight > best.rotation.currentWeight
+	higherCurrentWeight := e.rotation.currentWeight > best.rotation.currentWeight
 	if !retry {
-		return ahead
+		return higherCurrentWeight
 	}
 	health, bestHealth := e.outlier.healthMultiplier(b.now), best.outlier.healthMultiplier(b.now)
-	return health > bestHealth || health == bestHealth && ahead
+	return health > bestHealth || health == bestHealth && higherCurrentWeight
 }
 
 // knownInFlight returns the number of requests in flight at an endpoint. It is the number from a fresh load
@@ -145,7 +146,7 @@
 // flight.
 func (b *Balancer) knownInFlight(e *endpoint) float64 {
 	if b.hasFreshReport(e) {
-		return e.check.inFlight + e.check.sentSinceReport
+		return e.healthCheck.inFlight + e.healthCheck.sentSinceReport
 	}
 	return float64(e.inFlight)
 }
--- a/balance/round_robin_test.go
+++ b/balance/round_robin_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// sequence sends n idempotent requests one after the other, each of which ends before the next starts. It
-// returns the endpoints of their attempts.
-func sequence(h *harness, n int) []EndpointID {
+// sequentialTargets sends n idempotent requests one after the other, each of which ends before the next
+// starts. It returns the endpoints of their attempts.
+func sequentialTargets(h *harness, n int) []EndpointID {
 	h.t.Helper()
 	var targets []EndpointID
 	for range n {
@@ -24,7 +24,7 @@
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	endpoints := newEndpoints(3)
 	endpoints[0].NominalCapacity = 5
-	got := sequence(newHarness(t, baseConfig(), endpoints...), 7)
+	got := sequentialTargets(newHarness(t, baseConfig(), endpoints...), 7)
 	want := []EndpointID{1, 1, 2, 1, 3, 1, 1}
 	for i := range want {
 		if got[i] != want[i] {
@@ -40,7 +40,7 @@
 	hits := 0
 	for range 40 {
 		outlier.consecutiveErrors, outlier.lastErrorAt = 1000, h.now // a success resets them
-		if sequence(h, 1)[0] == 3 {
+		if sequentialTargets(h, 1)[0] == 3 {
 			hits++
 		}
 	}
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -11,8 +11,8 @@
 	// of Config.OverloadWindow. It bounds the burst of attempts that a warming-up endpoint can receive.
 	slowStartBurstFraction = 0.25
 
-	// minWeightInUse is a lower bound for the sum of the weights of the endpoints that this sidecar uses, in
-	// units of weight. It avoids a division by zero when a response is counted per weight.
+	// minWeightInUse is a lower bound for the sum of the weights of the endpoints that this sidecar uses.
+	// Weights have no unit. The bound avoids a division by zero when a response is counted per weight.
 	minWeightInUse = 1e-6
 )
 
@@ -27,7 +27,7 @@
 	// is the rate of responses that this sidecar gets from an endpoint of this weight. It counts responses
 	// and not requests, because clients retry under overload, which would raise the budget.
 	responsesPerWeight rateMeter
-	weightInUse        float64 // sum at the last first attempt, without health multipliers
+	weightInUse        float64 // sum of the weights of usable endpoints, without health multipliers
 }
 
 // warmUpState is the slow-start state of one endpoint.
@@ -50,7 +50,7 @@
 // warmingUp reports whether an endpoint is in its slow start.
 func (s *slowStart) warmingUp(e *endpoint, now float64) bool { return now < e.warmUp.start+s.duration }
 
-// capacityFraction returns the fraction of its capacity that a warming-up endpoint has at the least. It
+// capacityFraction returns the minimum fraction of its capacity that a warming-up endpoint has. The fraction
 // rises linearly from initialFraction to 1 over the slow-start duration.
 func (s *slowStart) capacityFraction(e *endpoint, now float64) float64 {
 	age := math.Max(0, now-e.warmUp.start) / s.duration
@@ -62,17 +62,17 @@
 	s.responsesPerWeight.add(now, 1/math.Max(s.weightInUse, minWeightInUse))
 }
 
-// hasBudget refills an endpoint's slow-start budget and reports whether it allows another attempt. The
-// budget is a hard limit that holds for retries too. It refills at a multiple of the rate of responses that
+// hasBudget refills an endpoint's slow-start budget and reports whether it allows another attempt. The budget
+// is a hard limit that holds for retries too. The budget refills at a multiple of the rate of responses that
 // this sidecar gets from an endpoint of this weight. The traffic of dead or unhealthy endpoints does not
-// raise it. Only few responses are assumed in addition to the counted ones, because the budgets of many
-// sidecars with little traffic would otherwise add up to an overload.
+// raise the budget. Only few responses are assumed in addition to the counted responses, because the budgets
+// of many sidecars with little traffic would otherwise add up to an overload.
 func (s *slowStart) hasBudget(e *endpoint, now float64) bool {
 	assumed := 1 / math.Max(s.weightInUse, e.rotation.weight)
-	served := s.responsesPerWeight.rate(now, assumed) * e.rotation.weight
-	refill := served * math.Max(1, slowStartBudgetFraction*s.overloadFactor)
-	burst := math.Max(1, refill*s.overloadWindow*slowStartBurstFraction)
-	e.warmUp.tokens = math.Min(e.warmUp.tokens+refill*(now-e.warmUp.refilledAt), burst)
+	responseRate := s.responsesPerWeight.rate(now, assumed) * e.rotation.weight
+	refillRate := responseRate * math.Max(1, slowStartBudgetFraction*s.overloadFactor)
+	burst := math.Max(1, refillRate*s.overloadWindow*slowStartBurstFraction)
+	e.warmUp.tokens = math.Min(e.warmUp.tokens+refillRate*(now-e.warmUp.refilledAt), burst)
 	e.warmUp.refilledAt = now
 	return e.warmUp.tokens >= 1
 }
@@ -82,8 +82,8 @@
 	return !b.slowStart.warmingUp(e, b.now) || b.slowStart.hasBudget(e, b.now)
 }
 
-// beginSlowStart starts an endpoint's warm-up, which counts from start. The initial budget is
-// random, so that not all sidecars send their first attempt at the same time.
+// beginSlowStart starts an endpoint's warm-up, whose age counts from the instant start, in ms. The initial
+// budget is random, so that the sidecars send their first attempts at different times.
 func (b *Balancer) beginSlowStart(e *endpoint, start float64) {
 	e.warmUp = warmUpState{start: start, tokens: b.random.float64(), refilledAt: b.now}
 }
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -11,7 +11,7 @@
 const (
 	restartAt       = 8000.0 // time of the endpoints' restart, in ms
 	observedTime    = 8000.0 // ms after the restart in which attempts are counted
-	minResponseTime = 100.0  // ms that an endpoint needs for a response at the least
+	minResponseTime = 100.0  // minimum time in ms that an endpoint needs for a response
 	endpointRate    = 25.0   // requests per second that a warm endpoint can serve
 )
 
@@ -20,11 +20,11 @@
 type slowStartScenario struct {
 	name                    string
 	sidecars                int
-	endpointsPerTenSidecars int     // number of endpoints for each ten sidecars; three in total at the least
+	endpointsPerTenSidecars int     // number of endpoints for each ten sidecars; at least 3 in total
 	load                    float64 // request rate, as a fraction of what all endpoints can serve when warm
 	skewed                  bool    // one sidecar in five has ten times the traffic of the others
 	class                   int     // position of the requests' class in Config.Classes
-	restartFraction         float64 // fraction of the endpoints that restart at restartAt; one at the least
+	restartFraction         float64 // fraction of the endpoints that restart at restartAt; at least one does
 	othersDie               bool    // the other endpoints accept no connections after restartAt
 	failureFraction         float64 // fraction of attempts that fail, except at restarted endpoints
 	restartSidecars         bool    // all sidecars restart too, when notified of the endpoints' restart
@@ -90,11 +90,11 @@
 }
 
 // run simulates the scenario and returns how much of the slow-start budget was used; see budgetUse.
-func (d slowStartScenario) run(t *testing.T, seed uint64) (fullest, used float64) {
+func (scenario slowStartScenario) run(t *testing.T, seed uint64) (fullest, used float64) {
 	t.Helper()
-	sim := newSlowStartSimulation(t, d, seed)
+	sim := newSlowStartSimulation(t, scenario, seed)
 	cfg := baseConfig()
-	for n := range d.sidecars {
+	for n := range scenario.sidecars {
 		sim.addSidecar(n, cfg)
 	}
 	sim.after(restartAt, sim.restartEndpoints)
@@ -225,8 +225,8 @@
 	s.sim.after(s.nextGap(), s.sendRequest)
 }
 
-// handle passes an event to a balancer of the sidecar: the present one or, for results of what was started
-// before a restart of the sidecar, the balancer that started it.
+// handle passes an event to a balancer of the sidecar: the current balancer or, for the result of an action
+// from before a restart of the sidecar, the balancer that returned the action.
 func (s *slowStartSidecar) handle(b *Balancer, event Event) {
 	s.sim.t.Helper()
 	actions, err := b.Handle(s.sim.now, event)
@@ -332,8 +332,8 @@
 		// A warm endpoint gets an equal share of the traffic. A warming-up endpoint can serve
 		// SlowStartFraction of this share, a little more with time, and fails at OverloadFactor times what it
 		// can serve.
-		share := float64(c.sidecars*c.perSecond) / float64(c.endpoints)
-		limit := share * cfg.OverloadFactor * (cfg.SlowStartFraction + 0.05)
+		equalShare := float64(c.sidecars*c.perSecond) / float64(c.endpoints)
+		limit := equalShare * cfg.OverloadFactor * (cfg.SlowStartFraction + 0.05)
 		if later == 0 || float64(early) > limit {
 			t.Errorf("%+v: %d attempts in the first second of warm-up, want at most %.0f; "+
 				"%d later, want some", c, early, limit, later)
@@ -371,10 +371,10 @@
 	return early, later
 }
 
-// An endpoint that lost connections, accepted no new ones and then responds has restarted, even if the
+// An endpoint that lost connections, accepted no new connections and then responds has restarted, even if the
 // endpoint list does not say so yet. Guards against taking either fault alone for a restart: endpoints with
 // full accept backlogs, and endpoints behind a network that resets connections, got only the traffic of a
-// warming-up one.
+// warming-up endpoint.
 func TestRecoveredEndpointStartsSlow(t *testing.T) {
 	for _, c := range []struct {
 		results   []Result // results of attempts, followed by one OK
@@ -405,7 +405,7 @@
 	}
 }
 
-// A sidecar that has seen no responses may send hardly anything to a warming-up endpoint. Guards against
+// A sidecar that has seen no responses may send very few requests to a warming-up endpoint. Guards against
 // counting assumed responses of sidecars with little traffic in slow-start budgets: the budgets of many such
 // sidecars together overloaded an endpoint.
 func TestAssumedResponsesGrantNoSlowStartBudget(t *testing.T) {
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -37,7 +37,7 @@
 // Stats returns the counts since New and the current state of the load.
 func (b *Balancer) Stats() Stats {
 	stats := b.stats
-	stats.BaseShedFraction = b.shedder.baseFraction
+	stats.BaseShedFraction = b.shedder.baseShedFraction
 	stats.Overload = b.shedder.overload
 	stats.BaselineLatency = b.latency.baseline
 	stats.ShortTermLatency = b.latency.shortTerm
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -19,25 +19,25 @@
 	// subsetEndpointsPerRequest is the number of endpoints in a sidecar's subset for each request that
 	// arrives within the longest latency objective.
 	subsetEndpointsPerRequest = 0.5
-	// ringCount is the number of rings. Each has the endpoints in another order, so that endpoints that are
-	// neighbors on one ring have other neighbors on the others.
+	// ringCount is the number of rings of endpoints. Each ring has the endpoints in another order, so that
+	// endpoints that are neighbors on one ring have other neighbors on the other rings.
 	ringCount = 8
 )
 
-// subsetRing selects a sidecar's subset by deterministic subsetting. Each sidecar has a fixed place on one of
-// several rings of all endpoints, and its subset is the endpoints that follow. If every sidecar used every
-// endpoint, the endpoints would have too many connections.
-type subsetRing struct {
+// subsetRings selects a sidecar's subset by deterministic subsetting. Each sidecar has a fixed position on
+// one of several rings of all endpoints, and its subset consists of the endpoints from this position onwards.
+// If every sidecar used every endpoint, the endpoints would have too many connections.
+type subsetRings struct {
 	peerIndex           int
 	peerCount           int
 	sidecarsPerEndpoint float64
 	needsPeerRings      bool // whether the rings of peers are needed, not only this sidecar's own ring
 	rings               [ringCount][]*endpoint
-	buffer              []*endpoint // the present subset; reused by each call of Balancer.subset
+	buffer              []*endpoint // the current subset; reused by each call of Balancer.subset
 }
 
-func newSubsetRing(cfg *Config) subsetRing {
-	s := subsetRing{
+func newSubsetRings(cfg *Config) subsetRings {
+	s := subsetRings{
 		peerIndex:           cfg.PeerIndex,
 		peerCount:           cfg.PeerCount,
 		sidecarsPerEndpoint: sidecarsPerEndpoint,
@@ -50,7 +50,7 @@
 }
 
 // rebuild fills the rings from a new endpoint list.
-func (s *subsetRing) rebuild(endpoints []*endpoint) {
+func (s *subsetRings) rebuild(endpoints []*endpoint) {
 	for i := range s.rings {
 		if i == s.peerIndex%ringCount || s.needsPeerRings {
 			s.rings[i] = sortRing(append(s.rings[i][:0], endpoints...), i)
@@ -68,12 +68,12 @@
 }
 
 // minSize returns the size of a subset without traffic, as a number of endpoints.
-func (s *subsetRing) minSize(endpointCount int) float64 {
+func (s *subsetRings) minSize(endpointCount int) float64 {
 	return math.Max(minSubsetSize, s.sidecarsPerEndpoint*float64(endpointCount)/float64(s.peerCount))
 }
 
-// position returns a sidecar's ring and the index on the ring at which the sidecar's subset starts.
-func (s *subsetRing) position(peer, endpointCount int) (ring []*endpoint, start int) {
+// ringPosition returns a sidecar's ring and the index on the ring at which the sidecar's subset starts.
+func (s *subsetRings) ringPosition(peer, endpointCount int) (ring []*endpoint, start int) {
 	peersOnRing := math.Ceil(float64(s.peerCount) / ringCount)
 	start = int(float64(endpointCount) * math.Mod(float64(peer/ringCount)/peersOnRing, 1))
 	return s.rings[peer%ringCount], start
@@ -87,7 +87,7 @@
 	if size >= float64(len(b.endpoints)) {
 		return b.endpoints
 	}
-	ring, start := b.subsets.position(b.cfg.PeerIndex, len(b.endpoints))
+	ring, start := b.subsets.ringPosition(b.cfg.PeerIndex, len(b.endpoints))
 	subset := b.subsets.buffer[:0]
 	for i := 0; i < len(ring) && size > 0; i++ {
 		e := ring[(start+i)%len(ring)]
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -19,7 +19,7 @@
 
 // Guards against too many connections for each endpoint: a thousand sidecars that each used every endpoint
 // filled the endpoints' connection tables, and most attempts got no connection. Subsets must have the minimum
-// size, use all endpoints evenly and hardly change when an endpoint is removed.
+// size, use all endpoints evenly and change little when an endpoint is removed.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
 	const peers, endpointCount = 800, 100
 	all, oneRemoved := newEndpoints(endpointCount), newEndpoints(endpointCount)[:endpointCount-1]
@@ -78,8 +78,8 @@
 	}
 }
 
-// Guards against a sidecar without usable endpoints after most of its subset has failed at once. Ejected
-// endpoints must not count in the size of the subset.
+// Guards against a sidecar without usable endpoints after most of its subset has failed at the same time.
+// Ejected endpoints must not count in the size of the subset.
 func TestEjectedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.PeerCount = 1000
--- a/balance/weight.go
+++ b/balance/weight.go
@@ -28,8 +28,8 @@
 	zonePreferenceDecay = 4
 
 	// capacityLearningRate is the change of an endpoint's learned capacity (a natural logarithm) with a
-	// response, for each mean latency of the class by which the response is faster or slower than that mean.
-	// The learned capacities of its machine type and zone change by half as much.
+	// response, per mean latency of the class by which the response is faster or slower than the mean. The
+	// learned capacities of the endpoint's machine type and zone change by half as much.
 	capacityLearningRate = 0.01
 	// maxLogCapacity is the upper bound, and its negative the lower bound, on each learned capacity (a
 	// natural logarithm).
@@ -80,12 +80,13 @@
 }
 
 // capacityModel learns how much more or less than their nominal capacity endpoints can serve. The logarithm
-// of an endpoint's learned capacity is the sum of three parts: its own, which the endpoint holds, one that is
-// shared by all endpoints of its machine type, and one that is shared by all endpoints of its zone.
+// of an endpoint's learned capacity is the sum of three parts: learnedLogCapacity of the endpoint, a part
+// that is shared by all endpoints of its machine type, and a part that is shared by all endpoints of its
+// zone.
 type capacityModel struct {
-	byMachineType map[int]float64 // logarithms
-	byZone        map[int]float64 // logarithms
-	updates       float64         // responses and errors learned from
+	byMachineType map[int]float64 // log of the capacity factor learned for each machine type
+	byZone        map[int]float64 // log of the capacity factor learned for each zone
+	updates       float64         // number of responses and errors learned from
 	meanStep      float64         // mean step of all endpoints, before the learning rate is applied
 }
 
@@ -95,11 +96,11 @@
 
 // factor returns an endpoint's learned capacity as a multiple of its nominal capacity.
 func (m *capacityModel) factor(e *endpoint) float64 {
-	return math.Exp(e.learnedCapacity + m.byMachineType[e.MachineType] + m.byZone[e.Zone])
+	return math.Exp(e.learnedLogCapacity + m.byMachineType[e.MachineType] + m.byZone[e.Zone])
 }
 
-// learn adjusts the learned capacities of an endpoint, its machine type and its zone, so that in the end the
-// responses of all endpoints take equally long. The latency is given as a multiple of the mean latency of its
+// learn adjusts the learned capacities of an endpoint, its machine type and its zone, so that the latencies
+// of all endpoints become equal. The latency is given as a multiple of the mean latency of the request's
 // class. The mean step is subtracted, because a change at all endpoints is due to load, not to capacity.
 func (m *capacityModel) learn(e *endpoint, relativeLatency float64) {
 	step := math.Max(-maxLatencyExcess, 1-relativeLatency)
@@ -107,7 +108,7 @@
 	m.updates++
 	boost := 1 + initialLearningBoost/(1+m.updates/initialLearningSamples)
 	step = capacityLearningRate * boost * (step - m.meanStep)
-	e.learnedCapacity = clampLog(e.learnedCapacity + step)
+	e.learnedLogCapacity = clampLog(e.learnedLogCapacity + step)
 	m.byMachineType[e.MachineType] = clampLog(m.byMachineType[e.MachineType] + step/2)
 	m.byZone[e.Zone] = clampLog(m.byZone[e.Zone] + step/2)
 }
--- a/balance/weight_test.go
+++ b/balance/weight_test.go
@@ -66,19 +66,19 @@
 
 // If crossing zones has a penalty, the sidecar's own zone gets more requests, and other zones still get some.
 func TestOwnZoneIsPreferredWhenCrossingCosts(t *testing.T) {
-	for penalty, least := range map[float64]int{0: 10, 0.05: 25} {
+	for penalty, minOwn := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Penalties.CrossZone, cfg.Zone = penalty, 1
 		h := newHarness(t, cfg, newEndpoints(8)...)
 		own := 0
-		for _, target := range sequence(h, 40) {
+		for _, target := range sequentialTargets(h, 40) {
 			if target > 4 {
 				own++
 			}
 		}
-		if own < least || own > 38 || penalty == 0 && own != 20 {
+		if own < minOwn || own > 38 || penalty == 0 && own != 20 {
 			t.Errorf("penalty %v: %d of 40 requests in the own zone, want %d to 38, and 20 without penalty",
-				penalty, own, least)
+				penalty, own, minOwn)
 		}
 	}
 }
@@ -93,17 +93,17 @@
 		h.b.learnCapacity(fast, 0.5)
 		h.b.learnCapacity(slow, 1.5)
 	}
-	early := fast.learnedCapacity - slow.learnedCapacity
+	early := fast.learnedLogCapacity - slow.learnedLogCapacity
 	for range 2000 { // both are equally fast for a long time, until one becomes faster
 		h.b.learnCapacity(fast, 1)
 		h.b.learnCapacity(slow, 1)
 	}
-	before := fast.learnedCapacity - slow.learnedCapacity
+	before := fast.learnedLogCapacity - slow.learnedLogCapacity
 	for range 20 {
 		h.b.learnCapacity(fast, 0.5)
 		h.b.learnCapacity(slow, 1.5)
 	}
-	if late := fast.learnedCapacity - slow.learnedCapacity - before; early < 3*late || late <= 0 {
+	if late := fast.learnedLogCapacity - slow.learnedLogCapacity - before; early < 3*late || late <= 0 {
 		t.Fatalf("learned %.3f at first and %.3f later, want both above 0 and the first three times as much",
 			early, late)
 	}
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -125,7 +125,7 @@
 var reportFieldNames = map[string]balance.ReportField{
 	"rif":       balance.FieldInFlight,
 	"q":         balance.FieldQueue,
-	"busy":      balance.FieldUtil,
+	"busy":      balance.FieldUtilization,
 	"lat_ms":    balance.FieldLatency,
 	"rate":      balance.FieldRate,
 	"fail_rate": balance.FieldErrorRate,
