--- a/balance/admission.go
+++ b/balance/admission.go
@@ -4,12 +4,12 @@
 
 const (
 	// allowedQueueingFraction is the fraction of the span between the baseline latency and the latency
-	// objective that queueing may add to the latency of responses. Anything beyond it is overload.
+	// objective that queueing may add to the latency of responses. Latency beyond this addition is overload.
 	allowedQueueingFraction = 0.25
 	// countedInFlightFraction is the fraction of the attempts in flight that counts when the latency of
 	// responses is estimated from the attempts in flight and the response rate (Little's law).
 	countedInFlightFraction = 0.85
-	// assumedResponses is the number of responses added to those that were counted when the response rate is
+	// assumedResponses is the number of responses added to the counted responses when the response rate is
 	// estimated, so that a sidecar with few recent responses gets a usable rate.
 	assumedResponses = 2
 	// maxEstimatedLatency is the upper bound, in latency objectives, on the estimated latency of responses
@@ -30,8 +30,8 @@
 	// maxShedFraction is the maximum fraction of the load to shed. It is below 1 because responses are needed
 	// to see that an overload has ended.
 	maxShedFraction = 0.95
-	// maxQuotaRatio is the upper bound on the ratio of a tenant's quota to its traffic when the value of the
-	// tenant's requests is computed.
+	// maxQuotaRatio is the upper bound on the ratio of a tenant's quota to the tenant's traffic from which
+	// the value of the tenant's requests is computed.
 	maxQuotaRatio = 2
 	// similarValueFactor is the ratio up to which the shed values of requests (their value for the goal per
 	// unit of work) count as similar. Requests of similar value are shed with equal probability, so that a
@@ -46,20 +46,20 @@
 	// minMeanLatency is the lower bound, in ms, on the mean latency of a class where the mean latency is a
 	// divisor.
 	minMeanLatency = 1e-3
-	// retryTimeoutRatio is the fraction of the longest timeout of first requests of a class below which a
-	// request's timeout counts as what is left of the deadline of a client's retry.
+	// retryTimeoutRatio is the fraction of the longest timeout of a class's first requests below which a
+	// request's timeout shows a client's retry, whose timeout is what is left of the client's deadline.
 	retryTimeoutRatio = 0.99
 )
 
 // loadShedder decides which fraction of the load to reject before any attempt. It uses only what this sidecar
 // observes itself.
 type loadShedder struct {
-	longestObjective float64   // ms
+	longestObjective float64   // longest latency objective of all classes, ms
 	responseRate     rateMeter // rate of successful responses
 	baseShedFraction float64   // fraction of the load to shed; it persists after the overload
 
-	// overload is the latency beyond the allowed latency, as a fraction of the objective. With gossip it is
-	// the load beyond the concurrency limit; see fleetShedFraction.
+	// overload is the latency beyond the allowed latency, as a fraction of the objective. With gossip,
+	// overload is the load beyond the concurrency limit; see fleetShedFraction.
 	overload float64
 }
 
@@ -98,9 +98,9 @@
 	return true
 }
 
-// shedFraction returns the fraction of the load to shed now. With fresh gossip it follows from the fleet's
-// requests in flight, otherwise from what this sidecar observes itself. Where gossip was lost, the larger of
-// both fractions counts.
+// shedFraction returns the fraction of the load to shed now. With fresh gossip the fraction follows from the
+// fleet's requests in flight, otherwise from what this sidecar observes itself. While gossip is lost, the
+// larger of both fractions is returned.
 func (b *Balancer) shedFraction() float64 {
 	shed := b.shedder.update(b.now, b.overloadSignal(), b.requestRate.rate(b.now, 0), &b.latency)
 	switch {
@@ -138,10 +138,10 @@
 	return healthy, ejected
 }
 
-// pastObjective reports whether the request is a client's retry whose latency objective has passed. The
-// timeout shows that: a timeout shorter than that of first requests is what is left of the client's deadline.
-// The timeouts of marked retries do not count for the longest timeout of first requests, as some clients give
-// each retry the whole timeout.
+// pastObjective reports whether the request is a client's retry whose latency objective has passed. A timeout
+// shorter than the timeout of first requests is what is left of the client's deadline. The timeouts of marked
+// retries do not count for the longest timeout of first requests, as some clients give each retry the whole
+// timeout.
 func (b *Balancer) pastObjective(r *request) bool {
 	longest := &r.classStats.longestTimeout
 	if !b.cfg.ClientsMarkRetries || !r.IsRetry {
@@ -190,9 +190,9 @@
 	return value / math.Max(class.meanLatency, minMeanLatency)
 }
 
-// quotaWeight returns the factor on the value of a tenant's requests that follows from its quota. The part of
-// its traffic within the quota counts in full and the rest at OverQuotaWeight. The quota is the tenant's
-// share of all requests of this sidecar.
+// quotaWeight returns the factor by which a tenant's quota changes the value of the tenant's requests. The
+// part of the traffic within the quota counts in full and the rest at OverQuotaWeight. The quota is the
+// tenant's share of all requests of this sidecar.
 func (b *Balancer) quotaWeight(t *serviceTally, requests float64) float64 {
 	if t.quotaShare <= 0 {
 		return 1
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -107,8 +107,8 @@
 	r.classStats.recordLatency(latency)
 }
 
-// recordFailure records a failed attempt as an error of its endpoint, unless it was counted when it became
-// overdue. A failed connect is always recorded.
+// recordFailure records a failed attempt as an error of its endpoint, unless the attempt was counted when it
+// became overdue. A failed connection attempt is always recorded.
 func (b *Balancer) recordFailure(r *request, a *attempt, event AttemptResult) {
 	if event.Result == TimedOut { // without timeouts the recorded latencies would lack the slowest attempts
 		b.recordLatency(event.Latency / r.class.LatencyObjective)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -18,8 +18,8 @@
 )
 
 // Balancer makes the decisions of one sidecar. It is not safe for concurrent use. Each concern, such as load
-// shedding or retries, has a type that owns its state; logic that needs several of them is in methods of
-// Balancer.
+// shedding or retries, has a type that owns its state; logic that needs several of these types is in methods
+// of Balancer.
 type Balancer struct {
 	cfg              Config
 	longestObjective float64 // longest latency objective of all classes, ms
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleShutdown moves the deadlines of all open requests forward to the end of the process.
+// handleShutdown limits the deadlines of all open requests to the end of the process.
 func (b *Balancer) handleShutdown(event Shutdown) {
 	b.shutdownAt = b.now + clampNonNegative(event.Timeout, math.MaxFloat64)
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
@@ -159,5 +159,5 @@
 	}
 }
 
-// emit adds an action to the answer to the current event.
+// emit adds an action to the actions that Start or Handle returns.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -7,10 +7,11 @@
 	// unit of nominal capacity, above which load is shed.
 	initialConcurrencyLimit = 0.7
 	// fullShedLoad is the number of requests in flight, per unit of nominal capacity, at which the whole load
-	// (up to maxShedFraction) is shed. It holds at the initial concurrency limit and scales with the limit.
+	// (up to maxShedFraction) is shed. The value holds at the initial concurrency limit and scales with the
+	// limit.
 	fullShedLoad = 1.8
 	// atCapacityLoad is the number of requests in flight, per unit of nominal capacity, above which a single
-	// endpoint is at capacity. It holds at the initial concurrency limit and scales with the limit.
+	// endpoint is at capacity. The value holds at the initial concurrency limit and scales with the limit.
 	atCapacityLoad = 1.3
 	// minRequestsAtCapacity is the number of requests that any single endpoint may have in flight, however
 	// small its capacity is, before it is at capacity.
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// The limit and the baseline stay within a usable range if responses have a latency of zero, a tiny
-// latency or a long latency.
+// The limit and the baseline stay within a usable range if responses have a latency of zero, a tiny latency
+// or a long latency.
 func TestZeroLatencyResponses(t *testing.T) {
 	h, peer := newPeers(t, newEndpoints(4))
 	for _, latency := range []float64{0, 2, 0, 1e-9, 2} {
--- a/balance/demand.go
+++ b/balance/demand.go
@@ -11,7 +11,7 @@
 	minTotalValue = 1e-9
 )
 
-// demandTracker counts, by class and by tenant, the requests that arrived and those that were served.
+// demandTracker counts, by class and by tenant, the requests that arrived and the requests that were served.
 type demandTracker struct {
 	classes []classStats   // by position in Config.Classes
 	tenants []serviceTally // by position in Config.Tenants; the last one is for requests without a tenant
@@ -43,11 +43,11 @@
 	return &d.tenants[index]
 }
 
-// serviceTally counts the requests of a class or tenant, and those that were served within their latency
-// objective. Both counts start at 1, so that a division by a count never divides by zero.
+// serviceTally counts the requests of a class or tenant, and the requests that were served within their
+// latency objective. Both counts start at 1, so that a division by a count never divides by zero.
 type serviceTally struct {
-	requested  float64
-	served     float64
+	requested  float64 // number of requests that arrived
+	served     float64 // number of requests that were served within their latency objective
 	quotaShare float64 // a tenant's fraction of the service; 0: no quota
 }
 
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// notificationDeadline is the time in ms within which a sidecar must know a change of the endpoint
-	// list, counted from when discovery has the change and can be reached. The sidecar counts as notified
-	// after it.
+	// notificationDeadline is the time in ms within which a sidecar must know a change of the endpoint list,
+	// counted from when discovery has the change and can be reached. The sidecar counts as notified after
+	// this time.
 	notificationDeadline = 6000
 
 	// discoveryResponseTime is the time in ms, within notificationDeadline, that is reserved for
@@ -88,8 +88,8 @@
 	p.callStartedAt = math.Inf(1)
 }
 
-// delayAtStart returns the delay of the first call, in ms. It is random, because all sidecars may have been
-// started at the same time.
+// delayAtStart returns the delay of the first call, in ms. The delay is random, because all sidecars may have
+// been started at the same time.
 func (p *pollSchedule) delayAtStart(now float64) float64 {
 	return p.jitter(math.Min(p.fleetCallTime(), p.remainingTime(now, 0)))
 }
@@ -134,10 +134,10 @@
 	return maxDiscoveryCallTime * float64(p.peerCount)
 }
 
-// jitter returns a random delay from 0 to the given span, both in ms. The span is limited to half of the
-// poll interval, because a sidecar that has not polled for an interval counts as notified of all changes.
-// The random number comes from a separate source, so that calls to discovery do not influence how
-// requests are routed.
+// jitter returns a random delay from 0 to the given span, both in ms. The span is limited to half of the poll
+// interval, because a sidecar that has not polled for an interval counts as notified of all changes. The
+// random number comes from a separate source, so that calls to discovery do not influence how requests are
+// routed.
 func (p *pollSchedule) jitter(span float64) float64 {
 	if p.pollInterval > 0 {
 		span = math.Min(span, p.pollInterval/2)
--- a/balance/event.go
+++ b/balance/event.go
@@ -24,7 +24,7 @@
 	// Lifecycle is the state of the endpoint; only a Ready endpoint gets requests.
 	Lifecycle Lifecycle
 	// StartedAt is the instant, in ms, at which the endpoint's process started, or 0 if it started long ago.
-	// If it is later than in an earlier entry of the endpoint, the process has restarted.
+	// A later instant than in an earlier entry of the endpoint means that the process has restarted.
 	StartedAt float64
 	// NominalCapacity is the capacity of the endpoint relative to other endpoints, or 1 if it is not known.
 	// An invalid value counts as 1.
@@ -80,7 +80,7 @@
 	Tenant int
 	// WorkHint is the expected work of the request in ms, or 0 if it is not known.
 	WorkHint float64
-	// AffinityKey is a hash of the object that the request concerns, or 0 if it names none.
+	// AffinityKey is a hash of the object that the request concerns, or 0 if the request names no object.
 	AffinityKey uint64
 	// Timeout is the time in ms, from now, for which the client waits for the response.
 	Timeout float64
@@ -93,7 +93,7 @@
 // Result is the outcome of an attempt or of a health check.
 type Result uint8
 
-// The results of attempts and health checks. Result.NotExecuted tells which of them prove that an attempt did
+// The results of attempts and health checks. Result.NotExecuted tells which results prove that an attempt did
 // not run.
 const (
 	OK            Result = iota // the endpoint served the request
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -55,7 +55,8 @@
 
 func newGossipState() gossipState { return gossipState{peers: map[int]*peer{}} }
 
-// gossipEnabled reports whether sidecars send each other gossip: if they may and there are enough of them.
+// gossipEnabled reports whether sidecars send each other gossip: the settings allow gossip and there are at
+// least minGossipPeers sidecars.
 func (c *Config) gossipEnabled() bool { return c.Gossip && c.PeerCount >= minGossipPeers }
 
 // isFresh reports whether a message of any peer was received less than gossipTimeout ago.
@@ -66,7 +67,7 @@
 // isLost reports whether messages were received before, but none less than gossipTimeout ago.
 func (g *gossipState) isLost(now float64) bool { return g.lastReceivedAt > 0 && !g.isFresh(now) }
 
-// indexTags maps each tag to its endpoint. A tag that several endpoints share is mapped to none of them.
+// indexTags maps each tag to its endpoint. A tag that several endpoints share is mapped to nil.
 func (g *gossipState) indexTags(endpoints []*endpoint) {
 	g.endpointByTag = make(map[uint16]*endpoint, len(endpoints))
 	for _, e := range endpoints {
@@ -113,7 +114,7 @@
 	}
 }
 
-// sendGossip sends to peers this sidecar's requests in flight by endpoint, and what it observed at
+// sendGossip sends to peers this sidecar's requests in flight by endpoint, and this sidecar's observations of
 // endpoints since its last message.
 func (b *Balancer) sendGossip() {
 	b.gossip.expirePeers(b.now)
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -39,8 +39,8 @@
 	busyFractionSamples = 50
 )
 
-// healthChecker decides which endpoints to check before a request's first attempt. It is used where load
-// reports come in health check results only.
+// healthChecker decides which endpoints to check before a request's first attempt. The balancer checks
+// endpoints before requests only if load reports come in the results of health checks.
 type healthChecker struct {
 	busyFraction float64    // recent fraction of the load reports that showed any request in flight
 	waiting      []*request // requests that wait for their health checks
@@ -55,8 +55,8 @@
 	return int(math.Min(affordable, wanted))
 }
 
-// startHealthChecks starts the health checks before a request's first attempt, at the endpoints that are
-// next in the rotation. A check that is pending already serves this request too.
+// startHealthChecks starts the health checks before a request's first attempt, at the endpoints that are next
+// in the rotation. A check that is already pending serves this request too.
 func (b *Balancer) startHealthChecks(r *request) {
 	if !b.cfg.HealthChecks || b.cfg.ReportSource != ReportHealthCheck {
 		return
@@ -81,8 +81,8 @@
 	b.healthChecks.waiting = append(b.healthChecks.waiting, r)
 }
 
-// nextToCheck returns the endpoint of the pool that is next in the rotation, is eligible for the request,
-// not ejected and not among the request's checked endpoints. It returns nil if there is no such endpoint.
+// nextToCheck returns the endpoint of the pool that is next in the rotation, is eligible for the request, not
+// ejected and not among the request's checked endpoints. It returns nil if there is no such endpoint.
 func (b *Balancer) nextToCheck(r *request, pool []*endpoint) *endpoint {
 	var next *endpoint
 	for _, e := range pool {
@@ -137,8 +137,8 @@
 		b.now-e.healthCheck.reportedAt <= loadReportLifetime*b.longestObjective
 }
 
-// awaitsHealthChecks reports whether a request still waits for its health checks. The wait ends with the
-// last result or at checkWaitUntil, whichever comes first.
+// awaitsHealthChecks reports whether a request still waits for its health checks. The wait ends with the last
+// result or at checkWaitUntil, whichever comes first.
 func (b *Balancer) awaitsHealthChecks(r *request) bool {
 	for _, e := range r.checkedEndpoints {
 		if e.healthCheck.pending && b.now < r.checkWaitUntil {
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkRequest measures the cost of a request for several numbers of endpoints. The cost grows
-// little, because each sidecar uses a subset of the endpoints.
+// BenchmarkRequest measures the cost of a request for several numbers of endpoints. The cost grows little,
+// because each sidecar uses a subset of the endpoints.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpointCount := range []int{12, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("%d-endpoints", endpointCount), func(b *testing.B) {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -41,9 +41,9 @@
 	o.lastErrorAt = now
 }
 
-// recordConnectionFault detects a process that died: its connections are reset and it accepts no new ones.
-// Either fault alone also happens to live endpoints, since a full accept backlog refuses connections and a
-// faulty network resets them.
+// recordConnectionFault detects a process that died: its connections are reset and it accepts no new
+// connections. Either fault alone also happens to live endpoints, since a full accept backlog refuses
+// connections and a faulty network resets them.
 func (o *outlierState) recordConnectionFault(result Result) {
 	switch result {
 	case Reset:
@@ -54,8 +54,8 @@
 	o.presumedDead = o.connectionLost && o.failedConnects >= failedConnectsToPresumeDead
 }
 
-// recordError counts an error of an endpoint. A failed connection attempt ejects the endpoint at once;
-// other errors eject it after several in a row.
+// recordError counts an error of an endpoint. A failed connection attempt ejects the endpoint at once; other
+// errors eject the endpoint after consecutiveErrorsToEject in a row.
 func (b *Balancer) recordError(e *endpoint, connectFailed bool) {
 	e.outlier.recordError(b.now)
 	b.recordObservation(e, observation{failures: 1, unreachable: connectFailed})
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// evidenceExpiry is the time in ms without any new observation of an endpoint after which the failures
-	// that sidecars saw there are forgotten.
+	// evidenceExpiry is the time in ms without any new observation of an endpoint after which the failures at
+	// the endpoint are forgotten.
 	evidenceExpiry = 4000
 
 	// fleetFailuresToEject is the number of failures at an endpoint, counted over all sidecars, at which the
 	// endpoint is ejected, provided that more than one sidecar reported failures.
 	fleetFailuresToEject = 3
 
-	// maxFleetFailures is the upper bound on the count of failures that all sidecars saw at one endpoint.
-	// The bound keeps an endpoint that works again from staying ejected for long.
+	// maxFleetFailures is the upper bound on the count of failures that all sidecars saw at one endpoint. The
+	// bound keeps an endpoint that works again from staying ejected for long.
 	maxFleetFailures = 6
 
 	// failureDecayFactor is the factor by which the count of failures that all sidecars saw at an endpoint
@@ -84,8 +84,9 @@
 }
 
 // mergeObservation adds what a sidecar, given by its peer index, saw of an endpoint to the evidence. An
-// endpoint at which more than one sidecar saw failures is ejected even if this sidecar has sent it nothing.
-// It stays ejected while peers report failures, and is used again once peers report responses.
+// endpoint at which more than one sidecar saw failures is ejected even if this sidecar has sent no attempts
+// to the endpoint. The endpoint stays ejected while peers report failures, and is used again once peers
+// report responses.
 func (b *Balancer) mergeObservation(e *endpoint, reporter int, observed observation) {
 	e.evidence.expire(b.now)
 	e.evidence.addFailures(reporter, observed)
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -6,7 +6,8 @@
 const slowDecayObjectives = 8
 
 // rateMeter estimates the rate of events from two exponentially decayed counts. The time constant of the fast
-// count is the longest latency objective; that of the slow count is several of them.
+// count is the longest latency objective; the time constant of the slow count is slowDecayObjectives times as
+// long.
 type rateMeter struct {
 	fastDecayTime float64 // time constant of the fast count, in ms
 	startedAt     float64 // when counting began
--- a/balance/request.go
+++ b/balance/request.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// countArrival counts the request among those of its class and of its tenant.
+// countArrival counts the arrival of the request for its class and its tenant.
 func (r *request) countArrival() {
 	r.classStats.requested++
 	r.tenant.requested++
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -33,8 +33,8 @@
 
 // candidates assigns weights for this pick to the endpoints of the subset, and returns them with the sum of
 // their weights. If no endpoint of the subset is eligible (for example because the retry of an idempotency
-// key must stay in a cell), all endpoints are candidates. If all of these are ejected or unhealthy, they are
-// used nevertheless, as a fault at all of them is probably not their own.
+// key must stay in a cell), all endpoints are candidates. If all eligible endpoints are ejected or unhealthy,
+// they remain candidates, as a fault at all endpoints is probably not their own.
 func (b *Balancer) candidates(r *request) (pool []*endpoint, totalWeight float64) {
 	pool = b.subset()
 	totalWeight = b.assignWeights(pool, r, false)
@@ -112,7 +112,7 @@
 
 // overloaded reports whether an endpoint would exceed its bounded share of the requests in flight, is at
 // capacity, or has an unknown load. Such an endpoint may be slow, hung or filled by other sidecars even if it
-// returns no errors. It keeps its current weight for later picks.
+// returns no errors. An overloaded endpoint keeps its current weight for later picks.
 func (b *Balancer) overloaded(e *endpoint, load boundedLoad) bool {
 	if !e.rotation.loadKnown {
 		return true
@@ -141,9 +141,9 @@
 	return health > bestHealth || health == bestHealth && higherCurrentWeight
 }
 
-// knownInFlight returns the number of requests in flight at an endpoint. It is the number from a fresh load
-// report plus the attempts of this sidecar since, or without a fresh report this sidecar's attempts in
-// flight.
+// knownInFlight returns the number of requests in flight at an endpoint. With a fresh load report, the number
+// is the reported number plus the attempts that this sidecar has sent since the report. Without a fresh
+// report, the number is this sidecar's attempts in flight.
 func (b *Balancer) knownInFlight(e *endpoint) float64 {
 	if b.hasFreshReport(e) {
 		return e.healthCheck.inFlight + e.healthCheck.sentSinceReport
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -7,8 +7,9 @@
 	// which a warming-up endpoint fails) that this sidecar's attempt budget for such an endpoint may use.
 	slowStartBudgetFraction = 0.5
 
-	// slowStartBurstFraction is the time over which an unused slow-start budget accumulates, as a fraction
-	// of Config.OverloadWindow. It bounds the burst of attempts that a warming-up endpoint can receive.
+	// slowStartBurstFraction is the time over which an unused slow-start budget accumulates, as a fraction of
+	// Config.OverloadWindow. The fraction bounds the burst of attempts that a warming-up endpoint can
+	// receive.
 	slowStartBurstFraction = 0.25
 
 	// minWeightInUse is a lower bound for the sum of the weights of the endpoints that this sidecar uses.
@@ -23,9 +24,9 @@
 	overloadFactor  float64 // multiple of its capacity at which a warming-up endpoint fails
 	overloadWindow  float64 // ms of such an overload after which a warming-up endpoint fails
 
-	// responsesPerWeight counts each response divided by weightInUse. Its rate times an endpoint's weight
-	// is the rate of responses that this sidecar gets from an endpoint of this weight. It counts responses
-	// and not requests, because clients retry under overload, which would raise the budget.
+	// responsesPerWeight counts each response divided by weightInUse. Its rate times an endpoint's weight is
+	// the rate of responses that this sidecar gets from an endpoint of this weight. responsesPerWeight counts
+	// responses and not requests, because clients retry under overload, which would raise the budget.
 	responsesPerWeight rateMeter
 	weightInUse        float64 // sum of the weights of usable endpoints, without health multipliers
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -10,7 +10,7 @@
 	// when all sidecars use subsets of the minimum size and there is no gossip.
 	sidecarsPerEndpoint = 16
 	// sidecarsPerEndpointWithGossip is the number of sidecars that use each endpoint, and so hold connections
-	// to it, when all sidecars use subsets of the minimum size and send gossip. Fewer are enough with gossip,
+	// to it, when all sidecars use subsets of the minimum size and send gossip. Fewer sidecars are enough,
 	// because gossip shows the load of the whole fleet.
 	sidecarsPerEndpointWithGossip = 5
 	// minSubsetSize is the minimum number of endpoints in a subset: enough to retry when some of the
@@ -80,7 +80,8 @@
 }
 
 // subset returns the endpoints that this sidecar picks from. The subset grows with the sidecar's traffic.
-// Endpoints that are ejected or not ready do not count in its size, so it extends past them.
+// Endpoints that are ejected or not ready do not count in the size of the subset, so the subset extends past
+// these endpoints.
 func (b *Balancer) subset() []*endpoint {
 	sizeByTraffic := subsetEndpointsPerRequest * b.requestRate.rate(b.now, 0) * b.longestObjective
 	size := math.Max(b.subsets.minSize(len(b.endpoints)), sizeByTraffic)
--- a/balance/weight.go
+++ b/balance/weight.go
@@ -21,10 +21,11 @@
 	// minWeight is the lower bound of an endpoint's weight in the round robin. Weights have no unit.
 	minWeight = 1e-6
 	// zonePreferenceFactor is the additional weight of endpoints in the sidecar's own zone, as a multiple of
-	// their weight, for a penalty of 1 for crossing zones. It is multiplied by the actual penalty.
+	// their weight, for a penalty of 1 for crossing zones. The factor is multiplied by Penalties.CrossZone.
 	zonePreferenceFactor = 400
 	// zonePreferenceDecay is the fraction of the preference for the own zone that is lost for each latency
-	// objective by which the mean latency exceeds the baseline. At a quarter of the objective none is left.
+	// objective by which the mean latency exceeds the baseline. At a quarter of an objective above the
+	// baseline, no preference is left.
 	zonePreferenceDecay = 4
 
 	// capacityLearningRate is the change of an endpoint's learned capacity (a natural logarithm) with a
