--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -18,8 +18,8 @@
 )
 
 // Balancer makes the decisions of one sidecar. It is not safe for concurrent use. Each concern, such as load
-// shedding or retries, has a type that owns its state; logic that needs several of them is in methods of
-// Balancer.
+// shedding or retries, has a type that owns its state; logic that needs several of these types is in methods
+// of Balancer.
 type Balancer struct {
 	cfg              Config
 	longestObjective float64 // longest latency objective of all classes, ms
@@ -39,11 +39,11 @@
 	shedder      loadShedder
 	concurrency  concurrencyLimiter
 	capacity     capacityModel
-	subsets      subsetRing
+	subsets      subsetRings
 	slowStart    slowStart
 	healthChecks healthChecker
 	retryBudget  retryBudget
-	polls        pollSchedule
+	pollSchedule pollSchedule
 	gossip       gossipState
 }
 
@@ -65,11 +65,11 @@
 		shedder:          newLoadShedder(longestObjective),
 		concurrency:      newConcurrencyLimiter(),
 		capacity:         newCapacityModel(),
-		subsets:          newSubsetRing(&cfg),
+		subsets:          newSubsetRings(&cfg),
 		slowStart:        newSlowStart(&cfg, longestObjective),
 		healthChecks:     healthChecker{busyFraction: 1},
 		retryBudget:      retryBudget{tokens: retryBudgetBurst / 2},
-		polls:            newPollSchedule(&cfg),
+		pollSchedule:     newPollSchedule(&cfg),
 		gossip:           newGossipState(),
 	}
 }
@@ -84,7 +84,7 @@
 	b.concurrency.start(now)
 	b.actions = b.actions[:0]
 	if b.cfg.Subscribe {
-		b.schedulePoll(b.polls.delayAtStart(now))
+		b.schedulePoll(b.pollSchedule.delayAtStart(now))
 	}
 	b.scheduleGossip()
 	return b.actions
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleShutdown moves the deadlines of all open requests forward to the end of the process.
+// handleShutdown limits the deadlines of all open requests to the end of the process.
 func (b *Balancer) handleShutdown(event Shutdown) {
 	b.shutdownAt = b.now + clampNonNegative(event.Timeout, math.MaxFloat64)
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
@@ -159,5 +159,5 @@
 	}
 }
 
-// emit adds an action to the answer to the current event.
+// emit adds an action to the actions that Start or Handle returns.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -6,7 +6,8 @@
 const slowDecayObjectives = 8
 
 // rateMeter estimates the rate of events from two exponentially decayed counts. The time constant of the fast
-// count is the longest latency objective; that of the slow count is several of them.
+// count is the longest latency objective; the time constant of the slow count is slowDecayObjectives times as
+// long.
 type rateMeter struct {
 	fastDecayTime float64 // time constant of the fast count, in ms
 	startedAt     float64 // when counting began
@@ -31,9 +32,9 @@
 	m.decay(now)
 	slowDecayTime := slowDecayObjectives * m.fastDecayTime
 	observedFraction := -math.Expm1((m.startedAt - now) / slowDecayTime)
-	slow := (m.slowCount + assumed) / slowDecayTime / math.Max(observedFraction, 1e-3)
-	fast := (m.fastCount - 2*math.Sqrt(m.fastCount)) / m.fastDecayTime
-	return math.Max(slow, fast)
+	slowRate := (m.slowCount + assumed) / slowDecayTime / math.Max(observedFraction, 1e-3)
+	fastRate := (m.fastCount - 2*math.Sqrt(m.fastCount)) / m.fastDecayTime
+	return math.Max(slowRate, fastRate)
 }
 
 func (m *rateMeter) decay(now float64) {
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -33,8 +33,8 @@
 
 // candidates assigns weights for this pick to the endpoints of the subset, and returns them with the sum of
 // their weights. If no endpoint of the subset is eligible (for example because the retry of an idempotency
-// key must stay in a cell), all endpoints are candidates. If all of these are ejected or unhealthy, they are
-// used nevertheless, as a fault at all of them is probably not their own.
+// key must stay in a cell), all endpoints are candidates. If all eligible endpoints are ejected or unhealthy,
+// they remain candidates, as a fault at all endpoints is probably not their own.
 func (b *Balancer) candidates(r *request) (pool []*endpoint, totalWeight float64) {
 	pool = b.subset()
 	totalWeight = b.assignWeights(pool, r, false)
@@ -112,40 +112,41 @@
 
 // overloaded reports whether an endpoint would exceed its bounded share of the requests in flight, is at
 // capacity, or has an unknown load. Such an endpoint may be slow, hung or filled by other sidecars even if it
-// returns no errors. It keeps its current weight for later picks.
+// returns no errors. An overloaded endpoint keeps its current weight for later picks.
 func (b *Balancer) overloaded(e *endpoint, load boundedLoad) bool {
 	if !e.rotation.loadKnown {
 		return true
 	}
-	share := math.Ceil(boundedLoadFactor * load.inFlight * e.rotation.weight / load.weight)
-	if b.knownInFlight(e)+1 > share {
+	boundedShare := math.Ceil(boundedLoadFactor * load.inFlight * e.rotation.weight / load.weight)
+	if b.knownInFlight(e)+1 > boundedShare {
 		return true
 	}
-	return b.gossip.fresh(b.now) && b.atCapacity(e)
+	return b.gossip.isFresh(b.now) && b.atCapacity(e)
 }
 
-// ranksBefore reports whether an endpoint is picked rather than the best one so far, which is overloaded if
-// and only if the endpoint is. Among overloaded endpoints a first attempt goes to the one with the fewest
-// requests in flight for its weight. Otherwise the higher current weight wins, and for a retry the better
-// health.
+// ranksBefore reports whether endpoint e is picked rather than the best endpoint so far, where either both
+// endpoints are overloaded or neither. Among overloaded endpoints a first attempt goes to the endpoint with
+// the fewest requests in flight for its weight. Otherwise a first attempt goes to the endpoint with the
+// higher current weight, and a retry to the endpoint with the better health or, at equal health, with the
+// higher current weight.
 func (b *Balancer) ranksBefore(e, best *endpoint, retry, overloaded bool) bool {
 	if overloaded && !retry {
 		return (b.knownInFlight(e)+1)*best.rotation.weight < (b.knownInFlight(best)+1)*e.rotation.weight
 	}
-	ahead := e.rotation.currentWeight > best.rotation.currentWeight
+	higherCurrentWeight := e.rotation.currentWeight > best.rotation.currentWeight
 	if !retry {
-		return ahead
+		return higherCurrentWeight
 	}
 	health, bestHealth := e.outlier.healthMultiplier(b.now), best.outlier.healthMultiplier(b.now)
-	return health > bestHealth || health == bestHealth && ahead
+	return health > bestHealth || health == bestHealth && higherCurrentWeight
 }
 
-// knownInFlight returns the number of requests in flight at an endpoint. It is the number from a fresh load
-// report plus the attempts of this sidecar since, or without a fresh report this sidecar's attempts in
-// flight.
+// knownInFlight returns the number of requests in flight at an endpoint. With a fresh load report, the number
+// is the reported number plus the attempts that this sidecar has sent since the report. Without a fresh
+// report, the number is this sidecar's attempts in flight.
 func (b *Balancer) knownInFlight(e *endpoint) float64 {
 	if b.hasFreshReport(e) {
-		return e.check.inFlight + e.check.sentSinceReport
+		return e.healthCheck.inFlight + e.healthCheck.sentSinceReport
 	}
 	return float64(e.inFlight)
 }
