--- a/balance/admission.go
+++ b/balance/admission.go
@@ -3,51 +3,68 @@
 import "math"
 
 const (
-	// allowedQueueingFraction is the fraction of the span between the baseline latency and the latency
-	// objective that queueing may add to the latency of responses. Latency beyond this addition is overload.
+	// allowedQueueingFraction determines the latency above which a sidecar without fresh gossip sees
+	// overload: baseline + allowedQueueingFraction*(1-baseline). Latencies are fractions of the latency
+	// objective of the request's class. The baseline is the smallest mean latency so far, and the rest of
+	// the allowed latency is left for queueing.
 	allowedQueueingFraction = 0.25
-	// countedInFlightFraction is the fraction of the attempts in flight that counts when the latency of
-	// responses is estimated from the attempts in flight and the response rate (Little's law).
+	// countedInFlightFraction is the fraction of the load in flight that counts when a sidecar estimates
+	// the latency of its responses by Little's law, as countedInFlightFraction*load/rate. The load is the
+	// sum of 1/(latency objective) over the sidecar's attempts in flight, and the rate is its rate of
+	// successful responses. So the estimate is a fraction of the latency objective.
 	countedInFlightFraction = 0.85
-	// assumedResponses is the number of responses added to the counted responses when the response rate is
-	// estimated, so that a sidecar with few recent responses gets a usable rate.
+	// assumedResponses is the number of responses that is added to the recent successful responses of a
+	// sidecar when their rate is estimated, so that a sidecar with few recent responses gets a usable rate.
+	// The latency of responses is estimated from this rate.
 	assumedResponses = 2
-	// maxEstimatedLatency is the upper bound, in latency objectives, on the estimated latency of responses
-	// from which the overload is computed.
+	// maxEstimatedLatency is the upper bound on the latency that a sidecar estimates from its attempts in
+	// flight to detect overload, as a multiple of the latency objective of the request's class.
 	maxEstimatedLatency = 2
-	// immediateShedGain is the fraction of the load that is shed in addition to the base shed fraction, per
-	// latency objective by which the estimated latency exceeds the allowed latency. The addition takes effect
-	// at once and lasts as long as the excess. A latency below the allowed one lowers the fraction in the
-	// same way.
+	// immediateShedGain determines how far the fraction of the load to shed follows the overload at once:
+	// without fresh gossip the fraction is baseShedFraction + immediateShedGain*overload, kept between 0
+	// and the smaller of 2*baseShedFraction and maxShedFraction. The overload is the estimated latency
+	// minus the allowed latency, as a fraction of the latency objective; a negative overload lowers the
+	// fraction. See baseShedGain for baseShedFraction.
 	immediateShedGain = 4
-	// baseShedGain is the increase of the base shed fraction with each arriving request, per latency
-	// objective by which the estimated latency exceeds the allowed latency. The base shed fraction persists
-	// between requests and falls while the latency is below the allowed one.
+	// baseShedGain determines how fast the base shed fraction, a fraction of the load that persists between
+	// requests, changes: without fresh gossip each arriving request adds baseShedGain*overload and keeps
+	// the fraction between 0 and maxShedFraction. The overload is the estimated latency minus the allowed
+	// latency, as a fraction of the latency objective; a negative overload lowers the fraction. With little
+	// traffic the change is larger; see lowTrafficRequests.
 	baseShedGain = 0.04
-	// lowTrafficRequests is the number of requests per longest latency objective below which each request
-	// changes the base shed fraction by more. It is also the largest factor by which the change grows.
+	// lowTrafficRequests is the number of arriving requests, per longest latency objective of all classes,
+	// below which a sidecar has little traffic. Each request then changes the base shed fraction more, by
+	// the factor lowTrafficRequests/(requests per longest objective), but at most by the factor
+	// lowTrafficRequests.
 	lowTrafficRequests = 5
-	// maxShedFraction is the maximum fraction of the load to shed. It is below 1 because responses are needed
-	// to see that an overload has ended.
+	// maxShedFraction is the largest fraction of the load, from 0 to 1, that a sidecar decides to shed. It
+	// is below 1 because responses are needed to see that an overload has ended.
 	maxShedFraction = 0.95
-	// maxQuotaRatio is the upper bound on the ratio of a tenant's quota to the tenant's traffic from which
-	// the value of the tenant's requests is computed.
+	// maxQuotaRatio is the upper bound on the ratio of a tenant's quota (the fraction Tenant.QuotaShare of
+	// all requests to this sidecar) to the number of the tenant's requests. The ratio is below 1 for a
+	// tenant over its quota. A higher ratio raises the shed value of the tenant's requests, and requests of
+	// low shed value are rejected first.
 	maxQuotaRatio = 2
-	// similarValueFactor is the ratio up to which the shed values of requests (their value for the goal per
-	// unit of work) count as similar. Requests of similar value are shed with equal probability, so that a
-	// tenant slightly over its quota does not bear all of the shedding.
+	// similarValueFactor is the ratio up to which the shed values of two requests count as similar. The
+	// shed value is what a request adds to the goal, per ms of the mean latency of its class. Requests of
+	// similar shed value are rejected with equal probability, so that a tenant slightly over its quota does
+	// not bear all of the shedding.
 	similarValueFactor = 1.25
-	// minRetryAfter is the lower bound on the Retry-After of a rejected request, as a fraction of the latency
-	// objective. The longest Retry-After that clients obey may be shorter and then takes precedence.
+	// minRetryAfter is the lower bound on the Retry-After of a rejected request, as a fraction of the
+	// latency objective of the request's class. Config.MaxRetryAfter, the longest Retry-After that clients
+	// follow, may be shorter and then takes precedence.
 	minRetryAfter = 0.05
-	// maxRetryAfter is the upper bound on the Retry-After of a rejected request, as a fraction of the latency
-	// objective. After a longer wait the client's retry would be too late.
+	// maxRetryAfter is the upper bound on the Retry-After of a rejected request, as a fraction of the
+	// latency objective of the request's class. After a longer wait the client's retry would be too late.
 	maxRetryAfter = 0.25
-	// minMeanLatency is the lower bound, in ms, on the mean latency of a class where the mean latency is a
-	// divisor.
+	// minMeanLatency is the lower bound, in ms, on the mean latency of a class where the value of the
+	// class's requests is divided by the mean latency. It avoids a division by zero before the first
+	// response of the class.
 	minMeanLatency = 1e-3
-	// retryTimeoutRatio is the fraction of the longest timeout of a class's first requests below which a
-	// request's timeout shows a client's retry, whose timeout is what is left of the client's deadline.
+	// retryTimeoutRatio is the fraction of the longest timeout of first requests of a class below which a
+	// request's timeout shows that the request is a client's retry. The timeout of a retry is what is left
+	// of the client's deadline. With Config.ClientsMarkRetries, the request must also be marked as a retry.
+	// Such a retry may be rejected if its latency objective has passed.
 	retryTimeoutRatio = 0.99
 )
 
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -3,44 +3,62 @@
 import "math"
 
 const (
-	// initialConcurrencyLimit is the concurrency limit of a sidecar that starts: the requests in flight, per
-	// unit of nominal capacity, above which load is shed.
+	// initialConcurrencyLimit is the concurrency limit with which a sidecar starts. With gossip, load is
+	// shed while the load exceeds the limit. The load is the requests of all sidecars in flight at the
+	// endpoints about which the sidecar receives gossip, divided by the sum of these endpoints' nominal
+	// capacities (Endpoint.NominalCapacity; 1 if not known).
 	initialConcurrencyLimit = 0.7
-	// fullShedLoad is the number of requests in flight, per unit of nominal capacity, at which the whole load
-	// (up to maxShedFraction) is shed. The value holds at the initial concurrency limit and scales with the
-	// limit.
+	// fullShedLoad is the load at which the fraction of the load to shed reaches 1, before maxShedFraction
+	// bounds the fraction; the fraction rises linearly from 0 at the concurrency limit. The load is the
+	// requests of all sidecars in flight at the endpoints about which the sidecar receives gossip, divided
+	// by the sum of these endpoints' nominal capacities (Endpoint.NominalCapacity; 1 if not known). The
+	// value is given for initialConcurrencyLimit; at another limit it is multiplied by
+	// limit/initialConcurrencyLimit.
 	fullShedLoad = 1.8
-	// atCapacityLoad is the number of requests in flight, per unit of nominal capacity, above which a single
-	// endpoint is at capacity. The value holds at the initial concurrency limit and scales with the limit.
+	// atCapacityLoad is the largest number of requests in flight of all sidecars at one endpoint, divided
+	// by the endpoint's nominal capacity (Endpoint.NominalCapacity; 1 if not known). An endpoint that one
+	// more request would raise above this number is at capacity and is picked only if all candidates are
+	// overloaded. The value is given for initialConcurrencyLimit; at another limit it is multiplied by
+	// limit/initialConcurrencyLimit.
 	atCapacityLoad = 1.3
-	// minRequestsAtCapacity is the number of requests that any single endpoint may have in flight, however
-	// small its capacity is, before it is at capacity.
+	// minRequestsAtCapacity is the number of requests that all sidecars together may have in flight at an
+	// endpoint before the endpoint is at capacity, however small its nominal capacity is. An endpoint at
+	// capacity is picked only if all candidates are overloaded.
 	minRequestsAtCapacity = 2
-	// fleetShareSamples is the number of arriving requests over which this sidecar's and the fleet's requests
-	// in flight are averaged (exponential moving averages). The ratio of these averages is this sidecar's
-	// share of the load.
+	// fleetShareSamples is the number of arriving requests over which a sidecar averages its own and the
+	// fleet's requests in flight, by exponential moving averages, while gossip is fresh. The ratio of these
+	// averages is the sidecar's share of the load. While gossip is lost, the fleet's requests in flight are
+	// estimated from this share.
 	fleetShareSamples = 50
-	// latencyTolerance is the fraction of the span between the baseline latency and the latency objective by
-	// which the mean latency may exceed the baseline while responses count as fast. Above twice this fraction
-	// responses count as slow.
+	// latencyTolerance is the slowness below which the responses of all sidecars count as fast, so that the
+	// concurrency limit may rise. The slowness is (mean-baseline)/(1-baseline), where mean and baseline are
+	// the recent and the smallest mean latency of these responses, as fractions of the latency objective.
+	// Above 2*latencyTolerance responses count as slow, and the limit falls.
 	latencyTolerance = 0.03
-	// minLimitUsage is the fraction of the concurrency limit that must be in use for the limit to be raised.
+	// minLimitUsage is the fraction of the concurrency limit that the recent mean load must exceed for the
+	// limit to be raised. The load is the requests in flight of all sidecars per unit of nominal capacity.
 	minLimitUsage = 0.75
-	// limitIncreaseRate is the exponential growth rate of the concurrency limit, per second, while responses
-	// are fast.
+	// limitIncreaseRate is the exponential growth rate of the concurrency limit, per second: the limit is
+	// multiplied by exp(limitIncreaseRate*seconds) while the responses of all sidecars are fast and more
+	// than the fraction minLimitUsage of the limit is in use. The limit has no fixed upper bound.
 	limitIncreaseRate = 0.5
-	// limitDecreaseRate is the exponential decay rate of the concurrency limit, per second, while responses
-	// are slow.
+	// limitDecreaseRate is the exponential decay rate of the concurrency limit, per second: the limit is
+	// multiplied by exp(-limitDecreaseRate*seconds) while the responses of all sidecars are slow, down to
+	// the floor that limitFloorFactor determines.
 	limitDecreaseRate = 0.9
-	// limitFloorFactor is the multiple of the recent peak of requests in service (not queued), per unit of
-	// nominal capacity, below which the concurrency limit does not fall. The initial concurrency limit is an
-	// upper bound on this floor.
+	// limitFloorFactor is the multiple of the recent peak of the load in service below which the
+	// concurrency limit does not fall. The load in service is the requests of all sidecars that endpoints
+	// work on (in flight, but not queued), per unit of nominal capacity. The floor is at most
+	// initialConcurrencyLimit.
 	limitFloorFactor = 1.2
-	// peakServiceDecayTime is the time constant, in ms, of the exponential decay of the recent peak of
-	// requests in service (not queued).
+	// peakServiceDecayTime is the time constant, in ms, with which the recent peak of the load in service
+	// decays: without a new peak the value is multiplied by exp(-elapsed/peakServiceDecayTime). The load in
+	// service is the requests of all sidecars that are in flight, but not queued, per unit of nominal
+	// capacity. The peak determines the floor of the concurrency limit.
 	peakServiceDecayTime = 3e4
-	// minLoadDivisor keeps divisors that are sums of nominal capacities or numbers of requests in flight
-	// above zero.
+	// minLoadDivisor avoids divisions by zero: the sum of the nominal capacities of endpoints starts at
+	// this value, and the mean number of a sidecar's own requests in flight is at least this value where it
+	// is a divisor.
 	minLoadDivisor = 1e-3
 )
 
@@ -66,7 +84,7 @@
 
 func (l *concurrencyLimiter) start(now float64) { l.startedAt, l.updatedAt = now, now }
 
-// scaleToLimit converts a load that holds at the initial concurrency limit to the current limit.
+// scaleToLimit converts a load that is given for initialConcurrencyLimit to the current limit.
 func (l *concurrencyLimiter) scaleToLimit(load float64) float64 {
 	return load * l.limit / initialConcurrencyLimit
 }
--- a/balance/demand.go
+++ b/balance/demand.go
@@ -3,11 +3,13 @@
 import "math"
 
 const (
-	// classLatencySamples is the number of responses over which the latency of a class, and its deviation
-	// from the mean, are averaged.
+	// classLatencySamples is the number of responses of a class over which the mean latency of the class
+	// and the mean deviation from it are averaged. Fewer responses have equal weight; from then on, the
+	// averages are exponential moving averages.
 	classLatencySamples = 300
-	// minTotalValue is added to the sum of the priority weights of all requests, so that a division by the
-	// sum never divides by zero.
+	// minTotalValue is the value with which the sum of the priority weights (Class.PriorityWeight) of all
+	// requests starts. The sum is a divisor when the values of requests are compared, so it must not be
+	// zero.
 	minTotalValue = 1e-9
 )
 
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -3,47 +3,51 @@
 import "math"
 
 const (
-	// notificationDeadline is the time in ms within which a sidecar must know a change of the endpoint list,
-	// counted from when discovery has the change and can be reached. The sidecar counts as notified after
-	// this time.
+	// notificationDeadline is the time in ms within which a sidecar must know a change of the endpoint
+	// list, counted from when discovery has the change and can be reached. The sidecar counts as notified
+	// after this time.
 	notificationDeadline = 6000
 
-	// discoveryResponseTime is the time in ms, within notificationDeadline, that is reserved for
-	// discovery's response to a call.
+	// discoveryResponseTime is the part of notificationDeadline, in ms, that is reserved for discovery's
+	// response: the call to discovery must start at least this long before the deadline ends.
 	discoveryResponseTime = 1000
 
-	// stallDetectionTime is the time in ms, within notificationDeadline, that it takes to notice that a
-	// watch of the endpoint list has stalled.
+	// stallDetectionTime is the part of notificationDeadline, in ms, that passes before a sidecar notices
+	// that its watch of the endpoint list has stalled. The time left for the next call to discovery is
+	// shorter by this part.
 	stallDetectionTime = 2500
 
 	// maxDiscoveryCallTime is the longest time in ms for which discovery works on one call. Discovery
-	// handles the calls of all sidecars one after another.
+	// handles the calls of all sidecars one after another, so calls of n sidecars take up to n times as
+	// long.
 	maxDiscoveryCallTime = 60
 
-	// minPollBackoff is a lower bound in ms for the time within which a failed call to discovery is
-	// repeated. The time doubles with each consecutive failure. For a local discovery agent, minPollBackoff
-	// is an upper bound and the time does not double.
+	// minPollBackoff is the shortest span, in ms, from which the random delay of the next call to discovery
+	// is drawn after a failed call; Config.PollInterval/2 bounds every span. The span doubles with each
+	// further consecutive failure, within the time that notificationDeadline leaves. For a local discovery
+	// agent, minPollBackoff is the longest span, and the span does not double.
 	minPollBackoff = 500
 
-	// maxBackoffDoublings is the maximum number of times that the backoff and the timeout of calls to
-	// discovery double, once for each consecutive failure.
+	// maxBackoffDoublings is the maximum number of doublings, one for each consecutive failed call to
+	// discovery, of the backoff before the next call and of the wait for the response to a call.
 	maxBackoffDoublings = 4
 
-	// minWatchTimeout is the shortest time in ms to wait for the start of discovery's response to a call.
-	// It leaves time for another call before notificationDeadline. The wait doubles with each consecutive
-	// failure.
+	// minWatchTimeout is the shortest time in ms for which a sidecar waits for the start of discovery's
+	// response to a call. It leaves time for another call before notificationDeadline. The wait doubles
+	// with each consecutive failed call, up to maxWatchTimeout.
 	minWatchTimeout = 1200
 
-	// maxWatchTimeout is the longest time in ms to wait for the start of discovery's response to a call.
-	// Discovery itself gives up a call after 3000 ms.
+	// maxWatchTimeout is the longest time in ms for which a sidecar waits for the start of discovery's
+	// response to a call. Discovery itself gives up a call after 3000 ms.
 	maxWatchTimeout = 3500
 
-	// minAgentBackoff is a lower bound in ms for the time within which a failed call to a local discovery
-	// agent is repeated.
+	// minAgentBackoff is the shortest span, in ms, from which the random delay of the next call to a local
+	// discovery agent is drawn after a failed call.
 	minAgentBackoff = 20
 
-	// agentPollsPerDrainGrace is the minimum number of calls to a local discovery agent that are made within
-	// Config.DrainGrace while calls fail.
+	// agentPollsPerDrainGrace is the minimum number of calls to a local discovery agent within
+	// Config.DrainGrace while calls fail: the delay after a failed call is at most
+	// Config.DrainGrace/agentPollsPerDrainGrace, or minAgentBackoff if the latter is longer.
 	agentPollsPerDrainGrace = 4
 )
 
--- a/balance/endpoint_list.go
+++ b/balance/endpoint_list.go
@@ -5,9 +5,10 @@
 	"sort"
 )
 
-// maxInitialCurrentWeight is the upper bound, in units of endpoint weight, of the random current weight
-// with which a new endpoint enters the smooth weighted round robin. The randomness keeps sidecars that
-// start together from picking the same endpoints at the same time.
+// maxInitialCurrentWeight is the upper bound of the random current weight with which a new endpoint enters
+// the smooth weighted round robin, in units of endpoint weight (an endpoint of nominal capacity 1 has the
+// weight baseWeight). The randomness keeps sidecars that start together from picking the same endpoints at
+// the same time.
 const maxInitialCurrentWeight = 100
 
 // handleEndpointUpdate applies an endpoint list or a change of it, or calls discovery again after a call or
@@ -53,7 +54,7 @@
 }
 
 // updateEndpoint applies one entry of the endpoint list. A restart, seen by a later start time, clears the
-// endpoint's outlier state and starts its warm-up. An unusable capacity is replaced by 1.
+// endpoint's outlier state and starts its warm-up. An unusable capacity is replaced with 1.
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
 	e := b.endpointByID[entry.ID]
 	if e == nil {
--- a/balance/fleet_latency.go
+++ b/balance/fleet_latency.go
@@ -3,23 +3,26 @@
 import "math"
 
 const (
-	// latencyDecayTime is the time constant, in ms, of the exponential moving averages of the latency of all
-	// sidecars' responses and of their requests in flight per unit of nominal capacity.
+	// latencyDecayTime is the time constant, in ms, of the two averages by which the concurrency limit is
+	// adjusted: the latency of all sidecars' responses, and their requests in flight per unit of nominal
+	// capacity. A value has the weight exp(-age/latencyDecayTime) in its average.
 	latencyDecayTime = 400
-	// minLatencySamples is the decayed number of recent responses of all sidecars that is needed to adjust
-	// the concurrency limit by their mean latency.
+	// minLatencySamples is the number of recent responses of all sidecars that is needed to adjust the
+	// concurrency limit by their mean latency. Each response counts as exp(-age/latencyDecayTime).
 	minLatencySamples = 20
-	// maxLatencyInBaselines is the upper bound, in baseline latencies, on the latency with which a response
-	// counts in the mean of the fleet: a single slow endpoint is no sign of load.
+	// maxLatencyInBaselines is the upper bound on the latency with which a response counts in the mean
+	// latency of all sidecars' responses, as a multiple of the baseline latency (the smallest mean latency
+	// so far). The bound is needed because a single slow endpoint is no sign of load.
 	maxLatencyInBaselines = 2.5
 	// baselineAdoptionTime is the time after its start, in ms, during which a sidecar moves its baseline
-	// latency (the smallest mean latency seen) towards that of its peers.
+	// latency (the smallest mean latency so far) towards the baseline latencies that its peers gossip.
 	baselineAdoptionTime = 5000
 	// baselineAdoptionSamples is the number of gossip messages over which a sidecar that has just started
-	// averages the baseline latency (the smallest mean latency seen) of its peers.
+	// averages the baseline latency of its peers, by an exponential moving average. The baseline latency is
+	// the smallest mean latency so far.
 	baselineAdoptionSamples = 50
-	// latencyUnitsPerObjective is the resolution of latencies in gossip messages: the number of units in one
-	// latency objective.
+	// latencyUnitsPerObjective is the number of units that a latency of one latency objective has in gossip
+	// messages. One unit is also the smallest baseline latency that a sidecar derives from responses.
 	latencyUnitsPerObjective = 100
 )
 
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -3,29 +3,32 @@
 import "math"
 
 const (
-	// minGossipPeers is the minimum number of sidecars, this one included, for which sidecars send each other
-	// gossip. In smaller fleets each sidecar sees enough of the endpoints by itself.
+	// minGossipPeers is the minimum number of sidecars, this one included, for which sidecars send each
+	// other gossip. In smaller fleets each sidecar sees enough of the endpoints by itself.
 	minGossipPeers = 8
 
-	// gossipInterval is the mean time in ms between two gossip messages of a sidecar. A message without any
-	// change for its receivers is not sent.
+	// gossipInterval is the mean time in ms between two gossip messages of a sidecar; the actual times are
+	// random, from 0.5 to 1.5 times the mean. A message without any change for a peer is not sent to this
+	// peer.
 	gossipInterval = 50
 
 	// gossipRefresh is the time in ms after which a sidecar gossips its requests in flight again although
 	// they have not changed, because messages can be lost.
 	gossipRefresh = 500
 
-	// gossipExpiry is the time in ms after which the last gossip message of a peer (another sidecar) is no
-	// longer used. A message whose clock differs from this sidecar's by more than gossipExpiry is dropped.
+	// gossipExpiry is the time in ms after which the requests in flight from the last gossip message of a
+	// peer (another sidecar) no longer count, as the peer may have died. A message whose clock differs from
+	// this sidecar's clock by more than gossipExpiry is dropped.
 	gossipExpiry = 1500
 
-	// gossipTimeout is the time in ms without gossip from any peer (another sidecar) after which a sidecar
-	// relies on its own requests alone.
+	// gossipTimeout is the time in ms since the last gossip message of any peer (another sidecar) after
+	// which gossip counts as lost. The sidecar then estimates the load of the fleet from its own requests
+	// alone.
 	gossipTimeout = 400
 
 	// minGossipScopeFactor is the minimum number of endpoints about which a sidecar receives gossip, as a
-	// multiple of the size of its subset without traffic. The factor is above 1 because a subset grows while
-	// some of its endpoints are ejected.
+	// multiple of the minimum size of its subset (the size without traffic). The factor is above 1 because
+	// a subset grows while some of its endpoints are ejected.
 	minGossipScopeFactor = 2
 )
 
@@ -90,7 +93,7 @@
 	}
 }
 
-// replaceInFlight replaces the requests in flight from a peer's previous message by the newly reported
+// replaceInFlight replaces the requests in flight from a peer's previous message with the newly reported
 // requests in flight.
 func (p *peer) replaceInFlight(reported []peerInFlight) {
 	for _, entry := range p.inFlight {
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -22,35 +22,41 @@
 // There is an entry for each endpoint at which the sender has requests in flight, or that failed or recovered
 // since the sender's last message. Messages of other versions are dropped.
 const (
-	// gossipVersion is the version of the gossip encoding, the first byte of each message.
+	// gossipVersion is the version of the gossip encoding, the first byte of each gossip message. Messages
+	// of other versions are dropped.
 	gossipVersion = 3
 
-	// gossipHeaderSize is the size of the header of a gossip message, in bytes.
+	// gossipHeaderSize is the size, in bytes, of the header of a gossip message, which comes before the
+	// entries.
 	gossipHeaderSize = 9
 
-	// gossipEntrySize is the size of a gossip message's entry on one endpoint, in bytes.
+	// gossipEntrySize is the size, in bytes, of each entry of a gossip message. An entry is about one
+	// endpoint.
 	gossipEntrySize = 3
 
-	// maxGossipSize is the largest gossip message that the protocol permits, in bytes.
+	// maxGossipSize is the size, in bytes, of the largest gossip message that the protocol permits. Entries
+	// that do not fit are left out of a message, and a larger message is dropped.
 	maxGossipSize = 256
 
-	// maxAnnouncedInFlight is the largest number of requests in flight at an endpoint that a gossip entry
-	// can state; the field has four bits.
+	// maxAnnouncedInFlight is the largest number of the sender's requests in flight at an endpoint that a
+	// gossip entry can state, in a field of four bits. A larger number is stated as maxAnnouncedInFlight.
 	maxAnnouncedInFlight = 15
 
-	// inFlightShift is the position, in bits, of the requests in flight in the last byte of a gossip entry.
+	// inFlightShift is the position, in bits, of the sender's requests in flight in the last byte of a
+	// gossip entry. The field takes the bits from this position upwards.
 	inFlightShift = 4
 
-	// respondedFlag is the bit in the last byte of a gossip entry that says that the endpoint responded
-	// after failures.
+	// respondedFlag is the bit in the last byte of a gossip entry that says that, since the sender's last
+	// message, the endpoint has responded to the sender after failures.
 	respondedFlag = 8
 
-	// unreachableFlag is the bit in the last byte of a gossip entry that says that a connection attempt to
-	// the endpoint failed.
+	// unreachableFlag is the bit in the last byte of a gossip entry that says that, since the sender's last
+	// message, a connection attempt of the sender to the endpoint has failed.
 	unreachableFlag = 4
 
-	// maxAnnouncedFailures is the largest number of failures of an endpoint that a gossip entry can state,
-	// and the mask of this field, the bits below unreachableFlag in the last byte.
+	// maxAnnouncedFailures is the largest number of the sender's failures at an endpoint that a gossip
+	// entry can state; a larger number is stated as maxAnnouncedFailures. It is also the bit mask of the
+	// field, which takes the bits below unreachableFlag in the last byte of the entry.
 	maxAnnouncedFailures = unreachableFlag - 1
 )
 
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -6,36 +6,42 @@
 )
 
 const (
-	// healthCheckBudget is the largest penalty that the health checks before one request may cost together,
-	// as a fraction of the service level.
+	// healthCheckBudget is the largest total penalty for the health checks before one request, as a
+	// fraction of the service level: at most healthCheckBudget/Penalties.HealthCheck endpoints are checked.
 	healthCheckBudget = 0.03
 
-	// minHealthCheckCost is a lower bound for the penalty of one health check, as a fraction of the service
-	// level. It avoids a division by zero and bounds the number of checks where checks have no penalty.
+	// minHealthCheckCost is a lower bound for Penalties.HealthCheck, the penalty for one health check per
+	// request as a fraction of the service level, where the number of checks is computed. It avoids a
+	// division by zero and, where checks have no penalty, bounds their number to
+	// healthCheckBudget/minHealthCheckCost.
 	minHealthCheckCost = 1e-3
 
-	// maxHealthCheckWait is the longest time for which the first attempt of a request waits for health
-	// checks, as a fraction of the latency objective of the request's class.
+	// maxHealthCheckWait is the longest time for which the first attempt of a request waits for the results
+	// of health checks, as a fraction of the latency objective of the request's class.
 	maxHealthCheckWait = 0.05
 
-	// loadReportLifetime is the age up to which an endpoint's load report is used, as a fraction of the
-	// longest latency objective of all classes.
+	// loadReportLifetime is the age up to which an endpoint's load report is used when an endpoint is
+	// picked, as a fraction of the longest latency objective of all classes.
 	loadReportLifetime = 0.05
 
 	// maxAllBusyProbability is the highest acceptable probability that all endpoints checked before a
-	// request turn out busy. It determines how many endpoints are checked.
+	// request are busy (have any request in flight). So many endpoints are checked that (fraction of busy
+	// endpoints)^(number of checks) is at most this probability, if healthCheckBudget allows.
 	maxAllBusyProbability = 0.01
 
 	// minBusyFraction is a lower bound for the estimated fraction of endpoints that are busy (have any
-	// request in flight). It keeps the logarithm of the fraction finite.
+	// request in flight). It keeps the logarithm of the fraction, by which the number of health checks is
+	// computed, finite.
 	minBusyFraction = 0.01
 
 	// maxBusyFraction is an upper bound for the estimated fraction of endpoints that are busy (have any
-	// request in flight). It keeps the logarithm of the fraction, a divisor, away from zero.
+	// request in flight). It keeps the logarithm of the fraction, a divisor when the number of health
+	// checks is computed, away from zero.
 	maxBusyFraction = 0.99
 
 	// busyFractionSamples is the number of load reports over which the fraction of busy endpoints (those
-	// with any request in flight) is averaged, by an exponential moving average.
+	// with any request in flight) is averaged, by an exponential moving average. The fraction determines
+	// the number of health checks before a request.
 	busyFractionSamples = 50
 )
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -3,16 +3,20 @@
 import "math"
 
 const (
-	// initialBaseline is the baseline latency (the smallest mean latency seen) that is assumed until
-	// responses show a smaller one, as a fraction of the latency objective.
+	// initialBaseline is the baseline latency that a sidecar assumes when it starts, as a fraction of the
+	// latency objective of the request's class. The baseline latency is the smallest mean latency so far; a
+	// smaller mean latency replaces the assumed one.
 	initialBaseline = 0.33
-	// meanLatencySamples is the number of this sidecar's responses over which the mean latency is taken.
+	// meanLatencySamples is the number of this sidecar's responses (including attempts that timed out) over
+	// which the mean latency is averaged. Fewer responses have equal weight; from then on, the average is
+	// an exponential moving average, and its smallest value is the baseline latency.
 	meanLatencySamples = 50
-	// shortTermLatencySamples is the number of this sidecar's responses over which the short-term mean
-	// latency is taken (an exponential moving average).
+	// shortTermLatencySamples is the number of this sidecar's responses (including attempts that timed out)
+	// over which the short-term mean latency is averaged, by an exponential moving average. Twice this mean
+	// bounds the latency that is estimated from the attempts in flight.
 	shortTermLatencySamples = 10
-	// maxLatencyInObjectives is the upper bound, in latency objectives, on the latency with which a response
-	// counts in this sidecar's mean latencies.
+	// maxLatencyInObjectives is the upper bound on the latency with which a response counts in this
+	// sidecar's mean latencies, as a multiple of the latency objective of the request's class.
 	maxLatencyInObjectives = 2
 )
 
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -1,8 +1,10 @@
 package balance
 
 const (
-	// consecutiveErrorsToEject is the number of consecutive errors of this sidecar's attempts at an
-	// endpoint after which the endpoint is ejected. A failed connection attempt ejects at once.
+	// consecutiveErrorsToEject is the number of consecutive errors, counted since the endpoint's last
+	// response, at which this sidecar ejects an endpoint: the endpoint then gets no requests while other
+	// endpoints can take them. An error is a failed or overdue attempt of this sidecar. A failed connection
+	// attempt ejects at once.
 	consecutiveErrorsToEject = 3
 
 	// maxEjectionDoublings is the maximum number of times that the duration of an endpoint's ejection
@@ -10,8 +12,10 @@
 	// for the longest latency objective of all classes.
 	maxEjectionDoublings = 3
 
-	// failedConnectsToPresumeDead is the number of failed connection attempts after which the process of an
-	// endpoint that has also lost an open connection is presumed dead.
+	// failedConnectsToPresumeDead is the number of failed connection attempts of this sidecar, counted
+	// since the endpoint's last response, at which the process of an endpoint is presumed dead if an open
+	// connection was also reset. The next response then shows a restart and begins the endpoint's slow
+	// start.
 	failedConnectsToPresumeDead = 2
 )
 
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -3,28 +3,33 @@
 import "math"
 
 const (
-	// evidenceExpiry is the time in ms without any new observation of an endpoint after which the failures at
-	// the endpoint are forgotten.
+	// evidenceExpiry is the time in ms after which the failures that sidecars saw at an endpoint are
+	// forgotten. The time counts from the endpoint's last response to this sidecar, its last error or the
+	// last gossip about it, whichever is latest.
 	evidenceExpiry = 4000
 
-	// fleetFailuresToEject is the number of failures at an endpoint, counted over all sidecars, at which the
-	// endpoint is ejected, provided that more than one sidecar reported failures.
+	// fleetFailuresToEject is the number of recent failures at an endpoint, counted over all sidecars and
+	// reduced by each response, at which the endpoint counts as failing, provided that more than one
+	// sidecar saw failures. A peer's report of new failures then ejects the endpoint, unless at least half
+	// of the endpoints are ejected.
 	fleetFailuresToEject = 3
 
-	// maxFleetFailures is the upper bound on the count of failures that all sidecars saw at one endpoint. The
-	// bound keeps an endpoint that works again from staying ejected for long.
+	// maxFleetFailures is the upper bound on the count of recent failures that all sidecars saw at one
+	// endpoint. The bound keeps an endpoint that works again from staying ejected for long.
 	maxFleetFailures = 6
 
-	// failureDecayFactor is the factor by which the count of failures that all sidecars saw at an endpoint
-	// shrinks with each response of the endpoint.
+	// failureDecayFactor is the factor by which the count of recent failures that all sidecars saw at an
+	// endpoint is multiplied with each response of the endpoint to this sidecar, and with each gossip
+	// message of a peer that reports responses.
 	failureDecayFactor = 0.7
 
-	// maxEjectionExtension is the longest time in ms, from another sidecar's report of a new failure, to
-	// which the report extends the ejection of an endpoint that is ejected already.
+	// maxEjectionExtension is the longest extension, in ms, of the ejection of a failing endpoint after a
+	// peer has reported new failures: the ejection ends no earlier than a random time after the report,
+	// which is at most maxEjectionExtension.
 	maxEjectionExtension = 800
 
-	// minExtensionRatio is the shortest extension of an ejection, as a fraction of maxEjectionExtension.
-	// The extension is drawn at random between the two.
+	// minExtensionRatio is the lower bound of the random extension of an ejection after a peer has reported
+	// new failures, as a fraction of the upper bound maxEjectionExtension.
 	minExtensionRatio = 0.25
 )
 
--- a/balance/round_robin.go
+++ b/balance/round_robin.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// boundedLoadFactor is the multiple of an endpoint's share of the requests in flight, rounded up to whole
-// requests, above which the endpoint counts as overloaded. The share is proportional to the weight. An
-// overloaded endpoint is picked only if all candidates are overloaded.
+// boundedLoadFactor determines which endpoints count as overloaded when an endpoint is picked for a
+// request: those that the request would raise above boundedLoadFactor times their share of the requests in
+// flight at all candidates (the new request included), rounded up to whole requests. The share is
+// proportional to the weight. An overloaded endpoint is picked only if all candidates are overloaded.
 const boundedLoadFactor = 0.7
 
 // pickEndpoint picks an endpoint for the next attempt of a request by smooth weighted round robin. A retry
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -3,17 +3,20 @@
 import "math"
 
 const (
-	// slowStartBudgetFraction is the fraction of Config.OverloadFactor (the multiple of its capacity at
-	// which a warming-up endpoint fails) that this sidecar's attempt budget for such an endpoint may use.
+	// slowStartBudgetFraction determines how fast this sidecar's budget of attempts for a warming-up
+	// endpoint refills: at max(1, slowStartBudgetFraction*Config.OverloadFactor) times the rate of
+	// responses that the sidecar gets from an endpoint of this weight. A warming-up endpoint fails at
+	// Config.OverloadFactor times its capacity.
 	slowStartBudgetFraction = 0.5
 
-	// slowStartBurstFraction is the time over which an unused slow-start budget accumulates, as a fraction of
-	// Config.OverloadWindow. The fraction bounds the burst of attempts that a warming-up endpoint can
-	// receive.
+	// slowStartBurstFraction is the time over which an unused budget of attempts for a warming-up endpoint
+	// accumulates, as a fraction of Config.OverloadWindow. It bounds the burst of attempts that this
+	// sidecar can send to the endpoint; a burst of one attempt is always possible.
 	slowStartBurstFraction = 0.25
 
 	// minWeightInUse is a lower bound for the sum of the weights of the endpoints that this sidecar uses.
-	// Weights have no unit. The bound avoids a division by zero when a response is counted per weight.
+	// Weights have no unit. The bound avoids a division by zero when a response counts as 1/(sum of the
+	// weights) in the rate from which slow-start budgets refill.
 	minWeightInUse = 1e-6
 )
 
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -6,21 +6,25 @@
 )
 
 const (
-	// sidecarsPerEndpoint is the number of sidecars that use each endpoint, and so hold connections to it,
-	// when all sidecars use subsets of the minimum size and there is no gossip.
+	// sidecarsPerEndpoint determines the minimum size of a sidecar's subset when there is no gossip:
+	// sidecarsPerEndpoint*(number of endpoints)/(number of sidecars). If all subsets have this size, each
+	// endpoint is used by sidecarsPerEndpoint sidecars on average, which hold connections to it.
 	sidecarsPerEndpoint = 16
-	// sidecarsPerEndpointWithGossip is the number of sidecars that use each endpoint, and so hold connections
-	// to it, when all sidecars use subsets of the minimum size and send gossip. Fewer sidecars are enough,
-	// because gossip shows the load of the whole fleet.
+	// sidecarsPerEndpointWithGossip determines the minimum size of a sidecar's subset when sidecars send
+	// gossip: sidecarsPerEndpointWithGossip*(number of endpoints)/(number of sidecars). If all subsets have
+	// this size, each endpoint is used by sidecarsPerEndpointWithGossip sidecars on average. Fewer sidecars
+	// are enough than without gossip, because gossip shows the load of the whole fleet.
 	sidecarsPerEndpointWithGossip = 5
-	// minSubsetSize is the minimum number of endpoints in a subset: enough to retry when some of the
-	// endpoints fail together.
+	// minSubsetSize is the minimum number of endpoints in a sidecar's subset: enough to retry when some of
+	// the endpoints fail together.
 	minSubsetSize = 3
 	// subsetEndpointsPerRequest is the number of endpoints in a sidecar's subset for each request that
-	// arrives within the longest latency objective.
+	// arrives at the sidecar within the longest latency objective of all classes. A subset grows beyond its
+	// minimum size if the sidecar's traffic calls for more endpoints.
 	subsetEndpointsPerRequest = 0.5
-	// ringCount is the number of rings of endpoints. Each ring has the endpoints in another order, so that
-	// endpoints that are neighbors on one ring have other neighbors on the other rings.
+	// ringCount is the number of rings of endpoints, on which each sidecar takes a place by its peer index.
+	// Each ring has all endpoints in another order, so that endpoints that are neighbors on one ring have
+	// other neighbors on the other rings.
 	ringCount = 8
 )
 
--- a/balance/weight.go
+++ b/balance/weight.go
@@ -3,52 +3,66 @@
 import "math"
 
 const (
-	// errorHalfLife is the time, in ms, after which an endpoint's consecutive errors count half as much in
-	// its health multiplier, as faults last for seconds.
+	// errorHalfLife is the time in ms, counted from an endpoint's last error, after which the effect of its
+	// consecutive errors on its health multiplier has halved. Faults last for seconds. The multiplier is a
+	// factor of the endpoint's weight and is 1 without recent errors.
 	errorHalfLife = 5000
-	// errorPenalty is the reduction of an endpoint's health multiplier (1: healthy) for each consecutive
-	// error.
+	// errorPenalty is the amount by which each consecutive error (without a response in between) lowers an
+	// endpoint's health multiplier, down to minHealth at the lowest. The multiplier is a factor of the
+	// endpoint's weight and is 1 without recent errors.
 	errorPenalty = 0.2
-	// minHealth is the lower bound of an endpoint's health multiplier (1: healthy). It keeps some requests
-	// going to an unhealthy endpoint, so that its recovery is noticed.
+	// minHealth is the lower bound of an endpoint's health multiplier. The multiplier is a factor of the
+	// endpoint's weight and is 1 without recent errors. The bound keeps some requests going to an unhealthy
+	// endpoint, so that its recovery is noticed.
 	minHealth = 0.25
-	// nonIdempotentMinHealth is the health multiplier (1: healthy) below which an endpoint gets no
-	// non-idempotent requests while there are healthier endpoints, as these requests must not run twice.
+	// nonIdempotentMinHealth is the health multiplier below which an endpoint gets no non-idempotent
+	// requests while there are healthier endpoints, as these requests must not run twice. The multiplier is
+	// a factor of the endpoint's weight and is 1 without recent errors.
 	nonIdempotentMinHealth = 0.9
-	// baseWeight is the weight in the round robin of a healthy endpoint of nominal capacity 1. Weights have
-	// no unit.
+	// baseWeight is the weight in the smooth weighted round robin of an endpoint with a nominal capacity of
+	// 1 (Endpoint.NominalCapacity), before learned capacity, errors, zone and slow start change the weight.
+	// Weights have no unit.
 	baseWeight = 100
-	// minWeight is the lower bound of an endpoint's weight in the round robin. Weights have no unit.
+	// minWeight is the lower bound of an endpoint's weight in the smooth weighted round robin. Weights have
+	// no unit; a healthy endpoint of nominal capacity 1 has the weight baseWeight. A weight of 0 would
+	// exclude the endpoint.
 	minWeight = 1e-6
-	// zonePreferenceFactor is the additional weight of endpoints in the sidecar's own zone, as a multiple of
-	// their weight, for a penalty of 1 for crossing zones. The factor is multiplied by Penalties.CrossZone.
+	// zonePreferenceFactor determines the preference for endpoints in the sidecar's own zone: at the
+	// baseline latency their weight is multiplied by 1 + zonePreferenceFactor*Penalties.CrossZone. The
+	// preference falls as responses become slower; see zonePreferenceDecay.
 	zonePreferenceFactor = 400
-	// zonePreferenceDecay is the fraction of the preference for the own zone that is lost for each latency
-	// objective by which the mean latency exceeds the baseline. At a quarter of an objective above the
-	// baseline, no preference is left.
+	// zonePreferenceDecay is the fraction of the preference for endpoints in the sidecar's own zone that is
+	// lost for each latency objective by which the sidecar's mean latency exceeds its baseline latency. At
+	// 1/zonePreferenceDecay of an objective above the baseline, no preference is left.
 	zonePreferenceDecay = 4
 
-	// capacityLearningRate is the change of an endpoint's learned capacity (a natural logarithm) with a
-	// response, per mean latency of the class by which the response is faster or slower than the mean. The
-	// learned capacities of the endpoint's machine type and zone change by half as much.
+	// capacityLearningRate is the learning rate of endpoint capacities: each response or error adds
+	// capacityLearningRate*(step - mean step) to the natural logarithm of the endpoint's learned capacity,
+	// where step is 1-latency/(mean latency of the class). The learned capacities of the machine type and
+	// the zone change by half as much.
 	capacityLearningRate = 0.01
-	// maxLogCapacity is the upper bound, and its negative the lower bound, on each learned capacity (a
-	// natural logarithm).
+	// maxLogCapacity is the upper bound, and its negative the lower bound, on the natural logarithm of each
+	// of the three factors of an endpoint's learned capacity: the factor of the endpoint itself, of its
+	// machine type and of its zone.
 	maxLogCapacity = 2.5
-	// maxLatencyExcess is the upper bound on how far the latency of a response counts as above the mean
-	// latency of its class when capacities are learned, in mean latencies of the class.
+	// maxLatencyExcess is the upper bound on the excess with which a slow response or an error counts when
+	// the capacities of endpoints are learned. The excess is (latency-mean)/mean, where mean is the mean
+	// latency of the class.
 	maxLatencyExcess = 2
 	// meanStepSamples is the number of responses and errors over which the mean step of the learned
-	// capacities is taken (an exponential moving average). The mean step is subtracted from each step.
+	// capacities of all endpoints is averaged, by an exponential moving average. A step is 1-latency/(mean
+	// latency of the class). The mean step is subtracted from each step, as a change at all endpoints is
+	// due to load.
 	meanStepSamples = 200
-	// initialLearningBoost is the increase of the learning rate of capacities at the start, as a multiple of
-	// the regular rate, because a restarted sidecar has not learned any capacities.
+	// initialLearningBoost is the initial increase of the learning rate of endpoint capacities: after n
+	// responses and errors the rate is multiplied by 1 + initialLearningBoost/(1+n/initialLearningSamples).
+	// The increase is needed because a restarted sidecar has not learned any capacities.
 	initialLearningBoost = 8
 	// initialLearningSamples is the number of responses and errors after which the initial increase of the
-	// learning rate of capacities has halved.
+	// learning rate of endpoint capacities, initialLearningBoost, has halved.
 	initialLearningSamples = 50
-	// errorLatencyRatio is the latency that an error counts as when capacities are learned, in mean latencies
-	// of the class.
+	// errorLatencyRatio is the latency with which an error (a failed or overdue attempt) counts when the
+	// capacities of endpoints are learned, as a multiple of the mean latency of the request's class.
 	errorLatencyRatio = 3
 )
 
