--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -14,8 +14,8 @@
 	overdue     bool      // the attempt took too long and has been counted as an error of its endpoint
 }
 
-// noAttempt is a number that no attempt has. closeRequest passes noAttempt to cancelAttemptsExcept to cancel
-// every attempt in flight.
+// noAttempt is an attempt number that no attempt has, as the attempts of a request are numbered from 0.
+// closeRequest passes noAttempt to cancelAttemptsExcept to cancel every attempt in flight.
 const noAttempt = -1
 
 // startAttempt sends a request to an endpoint and counts the attempt there. A retry takes a token from the
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -9,11 +9,15 @@
 
 // The errors that Handle returns for an invalid event.
 var (
-	// ErrDuplicateRequest is the error of a Request whose ID belongs to a request that has not ended.
+	// ErrDuplicateRequest is wrapped by the error that Handle returns for a Request event whose ID belongs to
+	// a request that has not ended: it has no final response yet, or one of its attempts is in flight.
 	ErrDuplicateRequest = errors.New("the ID is in use")
-	// ErrUnknownClass is the error of a Request whose Class is not an index of Config.Classes.
+	// ErrUnknownClass is wrapped by the error that Handle returns for a Request event whose Class is not an
+	// index of Config.Classes.
 	ErrUnknownClass = errors.New("unknown class")
-	// ErrUnknownAttempt is the error of an AttemptResult for an attempt that is not in flight.
+	// ErrUnknownAttempt is wrapped by the error that Handle returns for an AttemptResult event whose attempt
+	// is not in flight: the request is unknown or has ended, no attempt has this number, or the attempt has
+	// already ended.
 	ErrUnknownAttempt = errors.New("not in flight")
 )
 
@@ -47,7 +51,7 @@
 	gossip       gossipState
 }
 
-// New returns a balancer with the given settings, in which unusable values are replaced by defaults. The
+// New returns a balancer with the given settings, in which unusable values are replaced with defaults. The
 // caller must call Start before Handle.
 func New(cfg Config) *Balancer {
 	cfg = cfg.withDefaults()
@@ -129,13 +133,19 @@
 	return nil
 }
 
-// The tokens of timers that belong to no request. They differ from all tokens of requests' timers, which are
-// the requests' IDs and below 2^52.
+// The tokens of timers that belong to no request. They differ from the tokens of the requests' timers, which
+// are the IDs of the requests and below 2^52.
 const (
-	pollTimer   = 1 << 60       // token of the timer for the next call to discovery
-	gossipTimer = pollTimer + 1 // token of the timer for the next gossip message
+	// pollTimer is the token, in SetTimer actions and Timer events, of the timer for the next call to
+	// discovery. Request IDs, which are the tokens of the timers of requests, are below 2^52.
+	pollTimer = 1 << 60
+	// gossipTimer is the token, in SetTimer actions and Timer events, of the timer for this sidecar's next
+	// gossip message. Request IDs, which are the tokens of the timers of requests, are below 2^52.
+	gossipTimer = pollTimer + 1
 )
 
+// handleTimer calls the handler for the timer that is due. A token other than pollTimer and gossipTimer is
+// the ID of the request that the timer belongs to.
 func (b *Balancer) handleTimer(event Timer) {
 	switch event.Token {
 	case pollTimer:
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -8,8 +8,8 @@
 //
 // Endpoints are picked by smooth weighted round robin. The weight of an endpoint is its capacity times a
 // health multiplier, which falls with the endpoint's consecutive errors and recovers with time. A failed
-// idempotent request is retried at the endpoint with the best health among the endpoints that the request has
-// not tried.
+// request is retried, if the retry cannot make the request run twice or running twice does no harm, at the
+// endpoint with the best health among the endpoints that the request has not tried.
 //
 // The caller must meet these conditions: all events carry times of one clock, which never goes back; events
 // are passed in the order in which they happened, from one goroutine at a time; the actions of a call are
--- a/balance/event.go
+++ b/balance/event.go
@@ -12,28 +12,34 @@
 
 // The lifecycle states of an endpoint.
 const (
-	Ready    Lifecycle = iota // the endpoint accepts requests
-	Draining                  // the endpoint finishes the requests it has and must get no new ones
-	Removed                   // the endpoint has left the endpoint list and must get no requests
+	// Ready is the lifecycle of an endpoint that accepts requests.
+	Ready Lifecycle = iota
+	// Draining is the lifecycle of an endpoint that finishes the requests it has and must get no new ones.
+	Draining
+	// Removed is the lifecycle of an endpoint that has left the endpoint list and must get no requests.
+	Removed
 )
 
 // Endpoint is one entry of the endpoint list, which discovery provides.
 type Endpoint struct {
 	// ID identifies the endpoint and is the same at every sidecar.
 	ID EndpointID
-	// Lifecycle is the state of the endpoint; only a Ready endpoint gets requests.
+	// Lifecycle is the state of the endpoint. Only a Ready endpoint gets attempts.
 	Lifecycle Lifecycle
-	// StartedAt is the instant, in ms, at which the endpoint's process started, or 0 if it started long ago.
-	// A later instant than in an earlier entry of the endpoint means that the process has restarted.
+	// StartedAt is the instant, in ms, at which the endpoint's process started, or 0 if the process started
+	// long ago. An entry with a later StartedAt than the endpoint's previous entry reports a restart. After a
+	// start or a restart the endpoint warms up; see Config.SlowStartDuration.
 	StartedAt float64
-	// NominalCapacity is the capacity of the endpoint relative to other endpoints, or 1 if it is not known.
-	// An invalid value counts as 1.
+	// NominalCapacity is the capacity of the endpoint relative to an ordinary endpoint, which has 1. A value
+	// that is not positive and finite counts as 1.
 	NominalCapacity float64
-	// Cell is the number of the cell that the endpoint belongs to; see DedupCell.
+	// Cell is the number of the cell that the endpoint belongs to. For requests of a class with DedupCell,
+	// endpoints of one cell recognize each other's idempotency keys.
 	Cell int
-	// Zone is the number of the zone that the endpoint runs in.
+	// Zone is the number of the zone that the endpoint runs in, in the same numbering as Config.Zone.
 	Zone int
-	// MachineType is the number of the machine type that the endpoint runs on.
+	// MachineType is the number of the machine type that the endpoint runs on. The balancer learns one
+	// capacity factor for all endpoints of a machine type.
 	MachineType int
 }
 
@@ -45,68 +51,95 @@
 
 // The kinds of endpoint updates.
 const (
-	// Snapshot is the kind of an update with the whole endpoint list. Endpoints that the list does not
-	// contain are removed.
+	// Snapshot is the kind of an EndpointUpdate with the whole endpoint list. Endpoints that the list does
+	// not contain are removed.
 	Snapshot UpdateKind = iota
-	// CachedSnapshot is the kind of an update with the whole endpoint list from an earlier time, for example
-	// from a cache.
+	// CachedSnapshot is the kind of an EndpointUpdate with the whole endpoint list from an earlier time, for
+	// example from a cache. The balancer applies the list like a Snapshot.
 	CachedSnapshot
-	// Delta is the kind of an update that contains only the entries that have changed.
+	// Delta is the kind of an EndpointUpdate with only the entries of the endpoint list that have changed. An
+	// entry with the lifecycle Removed removes its endpoint.
 	Delta
-	// WatchFailed is the kind of an update without entries: a call to discovery failed, or the watch ended.
+	// WatchFailed is the kind of an EndpointUpdate without entries that reports that a call to discovery
+	// failed or a watch of the endpoint list ended. The balancer calls discovery again after a backoff.
 	WatchFailed
-	// WatchStalled is the kind of an update without entries: the watch brought no message for too long.
+	// WatchStalled is the kind of an EndpointUpdate without entries that reports that a watch of the endpoint
+	// list brought no message for too long. The balancer calls discovery again after a random delay.
 	WatchStalled
-	// SourceChanged is the kind of an update without entries: discovery now has another address.
+	// SourceChanged is the kind of an EndpointUpdate without entries that reports that discovery has another
+	// address. The balancer opens a watch at the new address at once.
 	SourceChanged
 )
 
-// EndpointUpdate reports the endpoint list, a part of it, or a problem with the watch that provides it.
+// EndpointUpdate reports the endpoint list, a part of the list, or a problem with the watch that provides the
+// list.
 type EndpointUpdate struct {
 	// Kind tells what the update contains.
 	Kind UpdateKind
-	// Endpoints holds the entries of the endpoint list that the update brings. The balancer does not keep the
-	// slice.
+	// Endpoints holds the entries of the endpoint list that a Snapshot, CachedSnapshot or Delta brings. The
+	// balancer does not keep the slice.
 	Endpoints []Endpoint
 }
 
-// Request reports that a client's request has arrived. Each request must get exactly one final response.
+// Request reports that a client's request has arrived. Unless its client goes first, each request must get
+// exactly one final response: the response of an attempt, a rejection or an error.
 type Request struct {
-	// ID identifies the request. A request with an ID that is in use is refused with ErrDuplicateRequest.
+	// ID identifies the request. For an ID of a request that has not ended, Handle returns
+	// ErrDuplicateRequest.
 	ID RequestID
-	// Class is the index of the request's class in Config.Classes.
+	// Class is the index of the request's class in Config.Classes. For any other value Handle returns
+	// ErrUnknownClass.
 	Class int
 	// Tenant is the index of the request's tenant in Config.Tenants. Any other value means no tenant.
 	Tenant int
-	// WorkHint is the expected work of the request in ms, or 0 if it is not known.
+	// WorkHint is the work in ms that the client expects of the request, or 0 if the work is not known. The
+	// balancer does not use WorkHint in decisions.
 	WorkHint float64
-	// AffinityKey is a hash of the object that the request concerns, or 0 if the request names no object.
+	// AffinityKey is a hash of the object that the request concerns, or 0 if the request names no object. The
+	// balancer does not use AffinityKey in decisions.
 	AffinityKey uint64
-	// Timeout is the time in ms, from now, for which the client waits for the response.
+	// Timeout is the time in ms, from now, for which the client waits for the response. The balancer limits
+	// Timeout to the Deadline of the request's class.
 	Timeout float64
-	// IsRetry is set if the client marked the request as a retry; see Config.ClientsMarkRetries.
+	// IsRetry reports whether the client marked the request as a retry. The balancer uses IsRetry only if
+	// Config.ClientsMarkRetries is true.
 	IsRetry bool
-	// Mutates is set if the request changes data at the endpoint.
+	// Mutates reports whether the request changes data at the endpoint. The balancer does not use Mutates in
+	// decisions.
 	Mutates bool
 }
 
 // Result is the outcome of an attempt or of a health check.
 type Result uint8
 
-// The results of attempts and health checks. Result.NotExecuted tells which results prove that an attempt did
-// not run.
+// The results of attempts and health checks. Result.NotExecuted tells which results prove that the endpoint
+// did not run an attempt.
 const (
-	OK            Result = iota // the endpoint served the request
-	ServerError                 // the endpoint answered with an error
-	Rejected                    // the endpoint rejected the attempt before running it
-	TimedOut                    // no response came in time
-	ConnectFailed               // no connection was made, or it broke before the request was written
-	Reset                       // the connection broke after the request was written
-	Canceled                    // the sidecar canceled the attempt
-	NotSent                     // the sidecar never sent the attempt
+	// OK is the result of an attempt or health check that the endpoint served.
+	OK Result = iota
+	// ServerError is the result of an attempt or health check that the endpoint answered with an error. The
+	// endpoint may have run the attempt.
+	ServerError
+	// Rejected is the result of an attempt or health check that the endpoint rejected before running it.
+	Rejected
+	// TimedOut is the result of an attempt or health check that got no response in time. The endpoint may
+	// have run the attempt.
+	TimedOut
+	// ConnectFailed is the result of an attempt or health check for which no connection was made, or whose
+	// connection broke before the request was written. The endpoint did not run the attempt.
+	ConnectFailed
+	// Reset is the result of an attempt or health check whose connection broke, or brought no valid response,
+	// after the request was written. The endpoint may have run the attempt.
+	Reset
+	// Canceled is the result of an attempt or health check that the sidecar canceled. The endpoint may have
+	// run the attempt.
+	Canceled
+	// NotSent is the result of an attempt or health check that the sidecar never sent to the endpoint, so the
+	// endpoint did not run the attempt.
+	NotSent
 )
 
-// ResultCount is the number of Result values. It is the size of an array that is indexed by Result.
+// ResultCount is the number of Result values, for arrays that are indexed by Result.
 const ResultCount = int(NotSent) + 1
 
 // resultNames holds the name of each result as it appears in logs, indexed by Result.
@@ -125,64 +158,76 @@
 // NotExecuted reports whether the result proves that the endpoint did not run the attempt.
 func (r Result) NotExecuted() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// AttemptResult reports the end of an attempt. Each attempt ends with exactly one AttemptResult.
+// AttemptResult reports the end of an attempt. Each attempt ends with exactly one AttemptResult. If Request
+// and Attempt identify no attempt in flight, Handle returns ErrUnknownAttempt.
 type AttemptResult struct {
 	// Request is the ID of the request that the attempt belongs to.
 	Request RequestID
-	// Attempt is the number of the attempt within its request, from 0.
+	// Attempt is the number of the attempt. The attempts of a request are numbered from 0 in the order of
+	// their StartAttempt actions.
 	Attempt int
-	// Endpoint is the endpoint that the attempt was sent to.
+	// Endpoint is the endpoint that the attempt was sent to. The balancer does not read this field, because
+	// it knows the endpoint of each attempt.
 	Endpoint EndpointID
 	// Result is the outcome of the attempt.
 	Result Result
 	// Latency is the time in ms from the start of the attempt to its end.
 	Latency float64
-	// RequestClosed is set if the request needs no response any more: it was answered, or its client has
-	// gone.
+	// RequestClosed reports whether the request needs no response any more, because the request was answered
+	// or its client has gone.
 	RequestClosed bool
-	// LoadReport holds the values of the endpoint's load report in the order of Config.ReportFields, and is
-	// empty if there was none. The balancer does not keep the slice.
+	// LoadReport holds the values of the load report in the endpoint's response, in the order of
+	// Config.ReportFields, and is empty if there was no report. The balancer neither uses the
+	// report nor keeps the slice.
 	LoadReport []float32
 }
 
-// ResponseStarted reports that the first part of a streamed response has been passed on to the client.
+// ResponseStarted reports that the first part of a streamed response has been passed on to the client. From
+// then on the request has no deadline and is not retried, and its other attempts are canceled.
 type ResponseStarted struct {
 	// Request is the ID of the request whose response is streamed.
 	Request RequestID
-	// Attempt is the number, within its request, of the attempt that the response comes from.
+	// Attempt is the number of the attempt that the response comes from. The attempts of a request are
+	// numbered from 0 in the order of their StartAttempt actions.
 	Attempt int
-	// Endpoint is the endpoint that sends the response.
+	// Endpoint is the endpoint that sends the response. The balancer does not read this field.
 	Endpoint EndpointID
-	// Latency is the time in ms from the start of the attempt to the start of the response.
+	// Latency is the time in ms from the start of the attempt to the start of the response. The balancer does
+	// not use this latency.
 	Latency float64
 }
 
-// ClientCanceled reports that the client of Request has gone, so that the request needs no response.
+// ClientCanceled reports that the client of the request with the ID ClientCanceled.Request has gone, so that
+// the request needs no response. The balancer cancels the attempts of the request in flight if
+// Config.CancelAttempts allows it.
 type ClientCanceled struct{ Request RequestID }
 
-// Shutdown reports that the process ends Timeout ms from now. All requests must be answered by that time,
+// Shutdown reports that the process ends in Shutdown.Timeout ms. All requests must be answered by then,
 // including requests that arrive after this event.
 type Shutdown struct{ Timeout float64 }
 
-// Timer reports that a timer is due. Token is the token of the SetTimer action that set the timer.
+// Timer reports that a timer is due. Timer.Token is the token of the SetTimer action that set the timer.
 type Timer struct{ Token uint64 }
 
-// HealthCheckResult reports the end of a health check.
+// HealthCheckResult reports the end of a health check that a HealthCheck action started. An endpoint whose
+// health check has any result other than OK is ejected.
 type HealthCheckResult struct {
 	// Endpoint is the endpoint that was checked.
 	Endpoint EndpointID
 	// Result is the outcome of the health check.
 	Result Result
-	// Latency is the time in ms from the start of the health check to its end.
+	// Latency is the time in ms from the start to the end of the health check. The balancer does not use this
+	// latency.
 	Latency float64
 	// LoadReport holds the values of the endpoint's load report in the order of Config.ReportFields, and is
-	// empty if there was none. The balancer does not keep the slice.
+	// empty if there was no report. The balancer does not keep the slice.
 	LoadReport []float32
 }
 
-// GossipMessage reports a message from another sidecar.
+// GossipMessage reports a gossip message from another sidecar. Invalid, old and duplicate messages are
+// dropped; see Stats.GossipDropped.
 type GossipMessage struct {
-	// Sender is the peer index of the sidecar that sent the message.
+	// Sender is the peer index of the sidecar that sent the message; see Config.PeerIndex.
 	Sender int
 	// Data is the encoded message. The balancer does not keep the slice.
 	Data []byte
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,8 +5,9 @@
 	"math"
 )
 
-// picksPerObjective is the number of times per latency objective that the balancer tries again to pick an
-// endpoint for a request that waits for an endpoint.
+// picksPerObjective is the number of times, per latency objective of the request's class, that the balancer
+// tries to pick an endpoint for a request that no endpoint could take so far. The interval between two tries
+// is at least Config.BatchInterval.
 const picksPerObjective = 20
 
 // request is a client's request from its arrival until it is closed and its last attempt has ended.
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -3,21 +3,25 @@
 import "math"
 
 const (
-	// maxRetries is the largest number of retries of a request. More retries multiply a load that is already
-	// too high.
+	// maxRetries is the largest number of retries (attempts after the first) of one request, even if
+	// Config.MaxAttempts is higher. More retries would multiply a load that is already too high.
 	maxRetries = 1
-	// retryBudgetRatio is the number of retries that each arriving request adds to the retry budget.
+	// retryBudgetRatio is the number of tokens that each arriving request adds to the retry budget of this
+	// sidecar. A retry takes one token, so in the long run retries are at most this fraction of the requests.
 	retryBudgetRatio = 0.2
-	// retryBudgetBurst is the largest number of retries that the retry budget can hold.
+	// retryBudgetBurst is the largest number of tokens that the retry budget of this sidecar can hold. A
+	// retry takes one token, so retryBudgetBurst is also the largest number of retries at once.
 	retryBudgetBurst = 10
-	// overdueDeviations is the number of mean deviations above the mean latency of its class after which an
-	// attempt is overdue.
+	// overdueDeviations determines when an attempt is overdue: when it has been in flight for longer than the
+	// mean latency of the request's class plus overdueDeviations times the mean absolute deviation from that
+	// mean. An overdue attempt counts as an error of its endpoint and may be canceled for a retry.
 	overdueDeviations = 4
-	// overdueMinSamples is the number of responses of a class below which overdueFraction decides when an
-	// attempt is overdue.
+	// overdueMinSamples is the number of successful responses that this sidecar needs from a class before the
+	// mean latency of the class decides when an attempt is overdue. Until then, overdueFraction decides.
 	overdueMinSamples = 5
-	// overdueFraction is the fraction of the latency objective after which an attempt is overdue while its
-	// class has too few responses for a mean latency.
+	// overdueFraction is the time in flight after which an attempt is overdue, as a fraction of the latency
+	// objective of the request's class. It applies only while the class has fewer than overdueMinSamples
+	// responses. An overdue attempt counts as an error of its endpoint and may be canceled for a retry.
 	overdueFraction = 0.5
 )
 
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -1,36 +1,47 @@
 package balance
 
-// Stats holds counts since New and the current state of the load, for logs.
+// Stats holds counts of this sidecar's requests and gossip messages since New, and the current state of the
+// load, for logs.
 type Stats struct {
-	// PastObjective is the number of requests rejected on arrival as retries of a client whose latency
-	// objective had already passed.
+	// PastObjective is the number of requests that were rejected on arrival because they were retries by a
+	// client after the latency objective, while BaseShedFraction was at least the LateWeight of the class.
 	PastObjective int
-	// Shed is the number of requests rejected on arrival as load beyond what the fleet can serve.
+	// Shed is the number of requests that were rejected on arrival because the load was higher than the fleet
+	// can serve.
 	Shed int
-	// RetriesExhausted is the number of requests that were given up after one or more attempts.
+	// RetriesExhausted is the number of requests that were given up after one or more attempts, at their
+	// deadline or because no further attempt was allowed or of use.
 	RetriesExhausted int
-	// NotSent is the number of requests that were admitted but given up without any attempt.
+	// NotSent is the number of requests that were admitted but given up without any attempt, for example
+	// because no endpoint could take them in time.
 	NotSent int
 
-	// BaseShedFraction is the fraction of the load, from 0 to 1, that is being shed.
+	// BaseShedFraction is the fraction of the load, from 0 to 1, that the balancer sheds. Without recent
+	// gossip, the present overload raises or lowers the fraction that is really shed.
 	BaseShedFraction float64
-	// Overload is the estimated excess of the mean latency over the allowed latency, as a fraction of the
-	// latency objective. It is negative while there is no overload.
+	// Overload measures the overload at the arrival of the latest request, and is above 0 under overload.
+	// Until gossip arrives, Overload is the estimated latency of this sidecar's responses minus the allowed
+	// latency, as a fraction of the latency objective of the request's class. Then Overload is
+	// initialConcurrencyLimit * (load/ConcurrencyLimit - 1), where load is measured like ConcurrencyLimit.
 	Overload float64
-	// BaselineLatency is the lowest mean latency so far, as a fraction of the latency objective.
+	// BaselineLatency is the lowest mean latency so far of this sidecar's responses and timeouts, as a
+	// fraction of the latency objective of the request's class, and is initialBaseline at first.
 	BaselineLatency float64
-	// ShortTermLatency is the mean latency of the last few responses, as a fraction of the latency objective.
+	// ShortTermLatency is the mean latency of the last few responses and timeouts of this sidecar, as a
+	// fraction of the latency objective of the request's class.
 	ShortTermLatency float64
-	// ConcurrencyLimit is the number of requests in flight per unit of nominal capacity above which load is
-	// shed.
+	// ConcurrencyLimit is the load above which the balancer sheds requests once gossip has arrived. The load
+	// is the number of requests that all sidecars have in flight at the endpoints in use, divided by the sum
+	// of Endpoint.NominalCapacity over these endpoints (lowered for endpoints that warm up).
 	ConcurrencyLimit float64
-	// Ejected is the number of endpoints that are ejected now.
+	// Ejected is the number of listed endpoints that are ejected now.
 	Ejected int
-	// WarmingUp is the number of endpoints that are warming up now.
+	// WarmingUp is the number of listed endpoints that are warming up now.
 	WarmingUp int
-	// GossipReceived is the number of accepted messages from other sidecars.
+	// GossipReceived is the number of messages from other sidecars that were accepted.
 	GossipReceived int
-	// GossipDropped is the number of messages dropped as invalid, old, duplicate or from an unknown sender.
+	// GossipDropped is the number of messages from other sidecars that were dropped as invalid, old,
+	// duplicate or from an unknown sender.
 	GossipDropped int
 }
 
