--- a/balance/config.go
+++ b/balance/config.go
@@ -173,7 +173,8 @@
 	// Gossip allows sidecars to send each other gossip messages. Fleets of fewer than minGossipPeers sidecars
 	// do not use gossip.
 	Gossip bool
-	// RetryAfter makes rejections carry Retry-After, the time after which the client should retry.
+	// RetryAfter makes rejections carry Retry-After (Action.Delay of a Reject action), the time after which
+	// the client should retry.
 	RetryAfter bool
 	// MaxRetryAfter is the upper bound, in ms, on the Retry-After of a rejection, because clients do not
 	// follow a longer one. 0 means that clients follow any Retry-After.
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -2,9 +2,9 @@
 // is retried and when it is rejected.
 //
 // The package is a state machine. A [Balancer] takes an [Event] and the current time, and returns the list of
-// [Action] values that the caller has to carry out. It does no I/O, reads no clock and draws its random
-// numbers from the seed in [Config], so the same events always give the same actions. All times are float64
-// milliseconds: either instants on the caller's clock or durations.
+// [Action] values that the caller has to carry out. The balancer does no I/O, reads no clock and draws its
+// random numbers from the seed in [Config], so the same events always give the same actions. All times are
+// float64 milliseconds: either instants on the caller's clock or durations.
 //
 // Endpoints are picked by smooth weighted round robin. The weight of an endpoint is its capacity times a
 // health multiplier, which falls with the endpoint's consecutive errors and recovers with time. A failed
--- a/balance/event.go
+++ b/balance/event.go
@@ -183,7 +183,8 @@
 }
 
 // ResponseStarted reports that the first part of a streamed response has been passed on to the client. From
-// then on the request has no deadline and is not retried, and its other attempts are canceled.
+// then on the request has no deadline and is not retried. The balancer cancels the other attempts of the
+// request if Config.CancelAttempts allows it.
 type ResponseStarted struct {
 	// Request is the ID of the request whose response is streamed.
 	Request RequestID
