--- a/balance/admission.go
+++ b/balance/admission.go
@@ -3,10 +3,10 @@
 import "math"
 
 const (
-	// allowedQueueingFraction determines the latency above which a sidecar without fresh gossip sees
-	// overload: baseline + allowedQueueingFraction*(1-baseline). Latencies are fractions of the latency
-	// objective of the request's class. The baseline is the smallest mean latency so far, and the rest of
-	// the allowed latency is left for queueing.
+	// allowedQueueingFraction determines the allowed latency, above which a sidecar without fresh gossip
+	// detects overload: baseline + allowedQueueingFraction*(1-baseline). Latencies are fractions of the
+	// latency objective of the request's class. The baseline is the smallest mean latency so far. The second
+	// term of the sum is the latency that queueing may add to the baseline.
 	allowedQueueingFraction = 0.25
 	// countedInFlightFraction is the fraction of the load in flight that counts when a sidecar estimates
 	// the latency of its responses by Little's law, as countedInFlightFraction*load/rate. The load is the
@@ -33,9 +33,9 @@
 	// traffic the change is larger; see lowTrafficRequests.
 	baseShedGain = 0.04
 	// lowTrafficRequests is the number of arriving requests, per longest latency objective of all classes,
-	// below which a sidecar has little traffic. Each request then changes the base shed fraction more, by
-	// the factor lowTrafficRequests/(requests per longest objective), but at most by the factor
-	// lowTrafficRequests.
+	// below which a sidecar has little traffic. With little traffic, each request changes the base shed
+	// fraction more, by the factor lowTrafficRequests/(requests per longest objective), but at most by the
+	// factor lowTrafficRequests.
 	lowTrafficRequests = 5
 	// maxShedFraction is the largest fraction of the load, from 0 to 1, that a sidecar decides to shed. It
 	// is below 1 because responses are needed to see that an overload has ended.
@@ -62,9 +62,9 @@
 	// response of the class.
 	minMeanLatency = 1e-3
 	// retryTimeoutRatio is the fraction of the longest timeout of first requests of a class below which a
-	// request's timeout shows that the request is a client's retry. The timeout of a retry is what is left
-	// of the client's deadline. With Config.ClientsMarkRetries, the request must also be marked as a retry.
-	// Such a retry may be rejected if its latency objective has passed.
+	// request's timeout shows that the request is a client's retry. The timeout of a retry is what is left of
+	// the client's deadline. With Config.ClientsMarkRetries, the request must also be marked as a retry. Such
+	// a retry may be rejected if the latency objective, counted from the client's first request, has passed.
 	retryTimeoutRatio = 0.99
 )
 
@@ -155,10 +155,10 @@
 	return healthy, ejected
 }
 
-// pastObjective reports whether the request is a client's retry whose latency objective has passed. A timeout
-// shorter than the timeout of first requests is what is left of the client's deadline. The timeouts of marked
-// retries do not count for the longest timeout of first requests, as some clients give each retry the whole
-// timeout.
+// pastObjective reports whether the request is a client's retry whose latency objective, counted from the
+// client's first request, has passed. A timeout shorter than the timeout of first requests is what is left of
+// the client's deadline. The timeouts of marked retries do not count for the longest timeout of first
+// requests, as some clients give each retry the whole timeout.
 func (b *Balancer) pastObjective(r *request) bool {
 	longest := &r.classStats.longestTimeout
 	if !b.cfg.ClientsMarkRetries || !r.IsRetry {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// initialConcurrencyLimit is the concurrency limit with which a sidecar starts. With gossip, load is
-	// shed while the load exceeds the limit. The load is the requests of all sidecars in flight at the
-	// endpoints about which the sidecar receives gossip, divided by the sum of these endpoints' nominal
-	// capacities (Endpoint.NominalCapacity; 1 if not known).
+	// initialConcurrencyLimit is the concurrency limit with which a sidecar starts. With gossip, load is shed
+	// while the load exceeds the limit. The load is the number of requests that all sidecars have in flight
+	// at the endpoints about which the sidecar receives gossip. This number is divided by the sum of the
+	// nominal capacities of the endpoints (Endpoint.NominalCapacity; 1 if not known).
 	initialConcurrencyLimit = 0.7
 	// fullShedLoad is the load at which the fraction of the load to shed reaches 1, before maxShedFraction
-	// bounds the fraction; the fraction rises linearly from 0 at the concurrency limit. The load is the
-	// requests of all sidecars in flight at the endpoints about which the sidecar receives gossip, divided
-	// by the sum of these endpoints' nominal capacities (Endpoint.NominalCapacity; 1 if not known). The
-	// value is given for initialConcurrencyLimit; at another limit it is multiplied by
-	// limit/initialConcurrencyLimit.
+	// bounds the fraction. The fraction rises linearly from 0 at the concurrency limit. The load is the
+	// number of requests that all sidecars have in flight at the endpoints about which the sidecar receives
+	// gossip. This number is divided by the sum of the nominal capacities of the endpoints
+	// (Endpoint.NominalCapacity; 1 if not known). The value is given for initialConcurrencyLimit; at another
+	// limit it is multiplied by limit/initialConcurrencyLimit.
 	fullShedLoad = 1.8
 	// atCapacityLoad is the largest number of requests in flight of all sidecars at one endpoint, divided
 	// by the endpoint's nominal capacity (Endpoint.NominalCapacity; 1 if not known). An endpoint that one
--- a/balance/config.go
+++ b/balance/config.go
@@ -45,13 +45,13 @@
 	// no keys; a negative, infinite or NaN value means that they never forget a key.
 	DedupWindow float64
 	// LatencyObjective is the time in ms, from the arrival of a request, within which a response has its full
-	// value. The balancer measures latencies as fractions of LatencyObjective. 0 stands for Deadline.
+	// value. The balancer measures latencies as fractions of LatencyObjective. 0 means that Deadline is used.
 	LatencyObjective float64
 	// ObjectivePerWork is the increase of the latency objective of a request, in ms, for each ms of the
-	// request's work. The balancer does not use ObjectivePerWork in decisions.
+	// request's work. ObjectivePerWork is a part of the settings only; decisions do not use it.
 	ObjectivePerWork float64
-	// Deadline is the longest time in ms that a client waits for a response, over all its retries. It limits
-	// Request.Timeout. 0 stands for LatencyObjective.
+	// Deadline is the longest time in ms that a client waits for a response, from its first request and over
+	// all its retries. Deadline limits Request.Timeout. 0 means that LatencyObjective is used.
 	Deadline float64
 	// PriorityWeight is the value, without a unit, of a response to a request of the class within the latency
 	// objective, relative to other classes. When load must be shed, the balancer rejects first the requests
@@ -59,17 +59,17 @@
 	PriorityWeight float64
 	// LateWeight is the value, as a fraction of PriorityWeight from 0 to 1, of a response after the latency
 	// objective. While Stats.BaseShedFraction is at least LateWeight, the balancer starts no attempt of a
-	// request that is late and can safely be rejected.
+	// request that is past its latency objective and can safely be rejected.
 	LateWeight float64
-	// Stream reports whether the responses of the class are streamed. The balancer does not use Stream in
-	// decisions, because a ResponseStarted event reports each streamed response.
+	// Stream reports whether the responses of the class are streamed. Stream is a part of the settings only:
+	// decisions use the ResponseStarted event that reports each streamed response.
 	Stream bool
 }
 
 // Tenant describes one customer of the service.
 type Tenant struct {
 	// QuotaRate is the number of requests per second, over all sidecars, that are within the tenant's quota.
-	// The balancer does not use QuotaRate in decisions.
+	// QuotaRate is a part of the settings only; decisions use QuotaShare.
 	QuotaRate float64
 	// QuotaShare is the fraction, from 0 to 1, of this sidecar's requests that is within the tenant's quota.
 	// When the balancer sheds load, the tenant's requests beyond the quota count with Config.OverQuotaWeight.
@@ -88,33 +88,35 @@
 	// attempts. The balancer does not use these reports.
 	ReportPiggyback
 	// ReportHealthCheck is the ReportSource of sidecars whose endpoints send load reports in the responses to
-	// health checks. If Config.HealthChecks allows it, the balancer then checks endpoints before requests.
+	// health checks. If Config.HealthChecks allows it, the balancer checks endpoints before requests.
 	ReportHealthCheck
 )
 
-// ReportField identifies one value of a load report.
+// ReportField identifies a field of a load report: it tells what one value of the report means.
 type ReportField uint8
 
 // The fields of load reports. The balancer uses FieldInFlight only.
 const (
-	// FieldUnknown is a field of a load report whose meaning is unknown. The balancer skips it.
+	// FieldUnknown identifies a field of a load report whose meaning is unknown. The balancer skips the
+	// value.
 	FieldUnknown ReportField = iota
-	// FieldInFlight is the field of a load report that holds the number of requests that the endpoint is
-	// handling.
+	// FieldInFlight identifies the field of a load report whose value is the number of requests that the
+	// endpoint is handling.
 	FieldInFlight
-	// FieldQueue is the field of a load report that holds the number of requests that wait at the endpoint.
+	// FieldQueue identifies the field of a load report whose value is the number of requests that wait at the
+	// endpoint. The balancer does not use the value.
 	FieldQueue
-	// FieldUtilization is the field of a load report that holds the fraction, from 0 to 1, of the endpoint's
-	// CPU that is in use.
+	// FieldUtilization identifies the field of a load report whose value is the fraction, from 0 to 1, of the
+	// endpoint's CPU that is in use. The balancer does not use the value.
 	FieldUtilization
-	// FieldLatency is the field of a load report that holds the recent service time, in ms, of the
-	// endpoint's requests.
+	// FieldLatency identifies the field of a load report whose value is the recent service time, in ms, of
+	// the endpoint's requests. The balancer does not use the value.
 	FieldLatency
-	// FieldRate is the field of a load report that holds the number of requests that the endpoint serves
-	// per second.
+	// FieldRate identifies the field of a load report whose value is the rate, in requests per second, at
+	// which the endpoint serves requests. The balancer does not use the value.
 	FieldRate
-	// FieldErrorRate is the field of a load report that holds the number of errors of the endpoint per
-	// second.
+	// FieldErrorRate identifies the field of a load report whose value is the rate of the endpoint's errors,
+	// in errors per second. The balancer does not use the value.
 	FieldErrorRate
 )
 
@@ -162,8 +164,8 @@
 	// MaxAttempts is the largest number of attempts of one request, including the first. The minimum is 1.
 	// The balancer makes no more than maxRetries retries, even if MaxAttempts allows more.
 	MaxAttempts int
-	// Hedging allows two attempts of a request to be in flight at the same time. The balancer does not use
-	// Hedging: it starts an attempt only while the request has no attempt in flight.
+	// Hedging allows two attempts of a request to be in flight at the same time. Hedging is a part of the
+	// settings only: the balancer starts an attempt only while the request has no attempt in flight.
 	Hedging bool
 	// CancelAttempts allows the balancer to cancel attempts in flight.
 	CancelAttempts bool
@@ -183,9 +185,9 @@
 	// pool of the sidecar uses ConnectTimeout; the balancer does not.
 	ConnectTimeout float64
 
-	// DrainGrace is the time in ms, from the moment at which an endpoint starts draining or is removed, after
-	// which the endpoint must get no more attempts. While calls to a local discovery agent fail, the balancer
-	// repeats them several times within DrainGrace.
+	// DrainGrace is the time in ms for which an endpoint may still get attempts after it starts draining or
+	// is removed. While calls to a local discovery agent fail, the balancer repeats them several times within
+	// DrainGrace.
 	DrainGrace float64
 	// SlowStartFraction is the lowest fraction of an endpoint's capacity, from 0 to 1, that is available when
 	// the endpoint's process starts. The fraction rises linearly to 1 over SlowStartDuration. A value that is
@@ -204,20 +206,22 @@
 	// The balancer delays a call to discovery by at most half of PollInterval. 0 means that there is no such
 	// limit.
 	PollInterval float64
-	// ResponseSlack is the time in ms after the client's deadline in which a response still counts. The
-	// balancer does not use ResponseSlack in decisions.
+	// ResponseSlack is the time in ms after the client's deadline in which a response still counts.
+	// ResponseSlack is a part of the settings only; decisions do not use it.
 	ResponseSlack float64
 
-	// Goal weighs the parts of the service level, by which the balancer chooses which load to shed.
+	// Goal holds the relative weights of four service levels: over all requests, in the worst time window, of
+	// the worst class and of the worst tenant. The balancer uses the weights to choose which load to shed.
 	Goal Goal
 	// Penalties holds the costs that lower the service level.
 	Penalties Penalties
 }
 
-// Goal weighs the parts of the service level, which is the total value of the responses (see
+// Goal holds the relative weights of four service levels: over all requests, in the worst time window, of the
+// worst class and of the worst tenant. A service level is the total value of the responses (see
 // Class.PriorityWeight) as a fraction of the highest possible total. The balancer adds up what a request can
-// contribute to each part, times the weight of the part, and sheds first the requests with the smallest sum
-// per ms of the mean latency of their class. The weights have no unit; only their ratios matter.
+// contribute to each service level, times its weight. Requests with the smallest sum per ms of the mean
+// latency of their class are shed first. The weights have no unit; only their ratios matter.
 type Goal struct {
 	// Overall is the weight of the service level over all requests.
 	Overall float64
@@ -238,20 +242,20 @@
 	// CrossZone is the cost, as a fraction of the service level, of responses from endpoints outside the
 	// sidecar's zone. The larger the cost, the more the balancer prefers endpoints of the sidecar's zone.
 	CrossZone float64
-	// Waste is the cost, as a fraction of the service level, of work at endpoints that serves no client. The
-	// balancer does not use Waste in decisions.
+	// Waste is the cost, as a fraction of the service level, of work at endpoints that serves no client.
+	// Waste is a part of the settings only; decisions do not use it.
 	Waste float64
-	// Handshake is the cost, as a fraction of the service level, of new connections to endpoints. The
-	// balancer does not use Handshake in decisions.
+	// Handshake is the cost, as a fraction of the service level, of new connections to endpoints. Handshake
+	// is a part of the settings only; decisions do not use it.
 	Handshake float64
 	// HealthCheck is the cost, as a fraction of the service level, of one health check per request. The
 	// larger the cost, the fewer endpoints the balancer checks before a request's first attempt.
 	HealthCheck float64
-	// Gossip is the cost, as a fraction of the service level, of gossip messages. The balancer does not use
-	// the field Gossip in decisions.
+	// Gossip is the cost, as a fraction of the service level, of gossip messages. Penalties.Gossip is a part
+	// of the settings only; decisions do not use it.
 	Gossip float64
-	// LateFailure is the cost, as a fraction of the service level, of requests that fail late. The balancer
-	// does not use LateFailure in decisions.
+	// LateFailure is the cost, as a fraction of the service level, of requests that fail late. LateFailure is
+	// a part of the settings only; decisions do not use it.
 	LateFailure float64
 }
 
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -35,5 +35,5 @@
 	inFlightFromPeers float64     // requests that other sidecars have in flight at the endpoint
 	announcedInFlight int         // this sidecar's requests in flight, as its last message stated them
 	changed           bool        // the message being written has a change or refresh for the endpoint
-	observation       observation // what this sidecar saw since its last message
+	observation       observation // what this sidecar saw since its previous message
 }
--- a/balance/event.go
+++ b/balance/event.go
@@ -81,8 +81,8 @@
 	Endpoints []Endpoint
 }
 
-// Request reports that a client's request has arrived. Unless its client goes first, each request must get
-// exactly one final response: the response of an attempt, a rejection or an error.
+// Request reports that a client's request has arrived. Unless the client disconnects before the response,
+// each request must get exactly one final response: the response of an attempt, a rejection or an error.
 type Request struct {
 	// ID identifies the request. For an ID of a request that has not ended, Handle returns
 	// ErrDuplicateRequest.
@@ -92,11 +92,11 @@
 	Class int
 	// Tenant is the index of the request's tenant in Config.Tenants. Any other value means no tenant.
 	Tenant int
-	// WorkHint is the work in ms that the client expects of the request, or 0 if the work is not known. The
-	// balancer does not use WorkHint in decisions.
+	// WorkHint is the work in ms that the client expects of the request, or 0 if the work is not known.
+	// WorkHint is a part of the event only; decisions do not use it.
 	WorkHint float64
-	// AffinityKey is a hash of the object that the request concerns, or 0 if the request names no object. The
-	// balancer does not use AffinityKey in decisions.
+	// AffinityKey is a hash of the object that the request concerns, or 0 if the request names no object.
+	// AffinityKey is a part of the event only; decisions do not use it.
 	AffinityKey uint64
 	// Timeout is the time in ms, from now, for which the client waits for the response. The balancer limits
 	// Timeout to the Deadline of the request's class.
@@ -104,8 +104,8 @@
 	// IsRetry reports whether the client marked the request as a retry. The balancer uses IsRetry only if
 	// Config.ClientsMarkRetries is true.
 	IsRetry bool
-	// Mutates reports whether the request changes data at the endpoint. The balancer does not use Mutates in
-	// decisions.
+	// Mutates reports whether the request changes data at the endpoint. Mutates is a part of the event only;
+	// decisions do not use it.
 	Mutates bool
 }
 
@@ -174,7 +174,7 @@
 	// Latency is the time in ms from the start of the attempt to its end.
 	Latency float64
 	// RequestClosed reports whether the request needs no response any more, because the request was answered
-	// or its client has gone.
+	// or its client has disconnected.
 	RequestClosed bool
 	// LoadReport holds the values of the load report in the endpoint's response, in the order of
 	// Config.ReportFields, and is empty if there was no report. The balancer neither uses the
@@ -198,8 +198,8 @@
 	Latency float64
 }
 
-// ClientCanceled reports that the client of the request with the ID ClientCanceled.Request has gone, so that
-// the request needs no response. The balancer cancels the attempts of the request in flight if
+// ClientCanceled reports that the client of the request with the ID ClientCanceled.Request has disconnected,
+// so that the request needs no response. The balancer cancels the attempts of the request in flight if
 // Config.CancelAttempts allows it.
 type ClientCanceled struct{ Request RequestID }
 
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -21,9 +21,9 @@
 	// this sidecar's clock by more than gossipExpiry is dropped.
 	gossipExpiry = 1500
 
-	// gossipTimeout is the time in ms since the last gossip message of any peer (another sidecar) after
-	// which gossip counts as lost. The sidecar then estimates the load of the fleet from its own requests
-	// alone.
+	// gossipTimeout is the time in ms since the last gossip message of any peer (another sidecar) after which
+	// gossip counts as lost. While gossip is lost, the sidecar estimates the load of the fleet from its own
+	// requests alone.
 	gossipTimeout = 400
 
 	// minGossipScopeFactor is the minimum number of endpoints about which a sidecar receives gossip, as a
@@ -118,7 +118,7 @@
 }
 
 // sendGossip sends to peers this sidecar's requests in flight by endpoint, and this sidecar's observations of
-// endpoints since its last message.
+// endpoints since its previous message.
 func (b *Balancer) sendGossip() {
 	b.gossip.expirePeers(b.now)
 	b.updateConcurrencyLimit()
--- a/balance/gossip_codec.go
+++ b/balance/gossip_codec.go
@@ -11,7 +11,7 @@
 //	header  u8  version
 //	        u32 the sender's clock in milliseconds, modulo 2^32
 //	        u8  the number of endpoints that the sender uses
-//	        u8  the number of responses that the sender got since its last message
+//	        u8  the number of responses that the sender got since its previous message
 //	        u8  the mean latency of these responses, in 1/latencyUnitsPerObjective of the latency objective
 //	        u8  the lowest mean latency that the sender knows of, in the same unit
 //	entry   u16 the endpoint's tag, see gossipTag
@@ -20,7 +20,7 @@
 //	            (unreachableFlag), the number of failures (low two bits)
 //
 // There is an entry for each endpoint at which the sender has requests in flight, or that failed or recovered
-// since the sender's last message. Messages of other versions are dropped.
+// since the sender's previous message. Messages of other versions are dropped.
 const (
 	// gossipVersion is the version of the gossip encoding, the first byte of each gossip message. Messages
 	// of other versions are dropped.
@@ -46,12 +46,12 @@
 	// gossip entry. The field takes the bits from this position upwards.
 	inFlightShift = 4
 
-	// respondedFlag is the bit in the last byte of a gossip entry that says that, since the sender's last
+	// respondedFlag is the bit in the last byte of a gossip entry that says that, since the sender's previous
 	// message, the endpoint has responded to the sender after failures.
 	respondedFlag = 8
 
-	// unreachableFlag is the bit in the last byte of a gossip entry that says that, since the sender's last
-	// message, a connection attempt of the sender to the endpoint has failed.
+	// unreachableFlag is the bit in the last byte of a gossip entry that says that, since the sender's
+	// previous message, a connection attempt of the sender to the endpoint has failed.
 	unreachableFlag = 4
 
 	// maxAnnouncedFailures is the largest number of the sender's failures at an endpoint that a gossip
@@ -76,7 +76,7 @@
 type gossipEntry struct {
 	tag         uint16      // see gossipTag
 	inFlight    int         // the sender's requests in flight at the endpoint
-	observation observation // what the sender saw of the endpoint since its last message
+	observation observation // what the sender saw of the endpoint since its previous message
 }
 
 // appendGossipHeader appends the encoded header of a message to data.
@@ -130,6 +130,6 @@
 	}
 }
 
-// gossipTag returns a short hash of an endpoint's ID, which stands for the endpoint in messages. All
-// sidecars get the same tag, because all know the endpoint by the same ID.
+// gossipTag returns a short hash of an endpoint's ID, which identifies the endpoint in messages. All sidecars
+// get the same tag, because all know the endpoint by the same ID.
 func gossipTag(id EndpointID) uint16 { return uint16(mix64(uint64(id))) }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -2,7 +2,7 @@
 
 const (
 	// consecutiveErrorsToEject is the number of consecutive errors, counted since the endpoint's last
-	// response, at which this sidecar ejects an endpoint: the endpoint then gets no requests while other
+	// response, at which this sidecar ejects an endpoint. An ejected endpoint gets no requests while other
 	// endpoints can take them. An error is a failed or overdue attempt of this sidecar. A failed connection
 	// attempt ejects at once.
 	consecutiveErrorsToEject = 3
@@ -12,9 +12,9 @@
 	// for the longest latency objective of all classes.
 	maxEjectionDoublings = 3
 
-	// failedConnectsToPresumeDead is the number of failed connection attempts of this sidecar, counted
-	// since the endpoint's last response, at which the process of an endpoint is presumed dead if an open
-	// connection was also reset. The next response then shows a restart and begins the endpoint's slow
+	// failedConnectsToPresumeDead is the number of failed connection attempts of this sidecar, counted since
+	// the endpoint's last response, at which the process of an endpoint is presumed dead if an open
+	// connection was also reset. The next response of such an endpoint shows a restart and begins its slow
 	// start.
 	failedConnectsToPresumeDead = 2
 )
--- a/balance/outlier_evidence.go
+++ b/balance/outlier_evidence.go
@@ -9,9 +9,9 @@
 	evidenceExpiry = 4000
 
 	// fleetFailuresToEject is the number of recent failures at an endpoint, counted over all sidecars and
-	// reduced by each response, at which the endpoint counts as failing, provided that more than one
-	// sidecar saw failures. A peer's report of new failures then ejects the endpoint, unless at least half
-	// of the endpoints are ejected.
+	// reduced by each response, at which the endpoint counts as failing, provided that more than one sidecar
+	// saw failures. A peer's report of new failures ejects the endpoint if the endpoint counts as
+	// failing, unless at least half of the endpoints are ejected.
 	fleetFailuresToEject = 3
 
 	// maxFleetFailures is the upper bound on the count of recent failures that all sidecars saw at one
--- a/balance/rate.go
+++ b/balance/rate.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// slowDecayObjectives is the time constant of the slow count of a rateMeter, as a multiple of the longest
-// latency objective of all classes, which is the time constant of the fast count. Each event counts as
-// exp(-age/(time constant)).
+// slowDecayObjectives is the time constant of the slow count of a rateMeter, as a multiple of the time
+// constant of the fast count. The time constant of the fast count is the longest latency objective of all
+// classes. Each event counts as exp(-age/(time constant)).
 const slowDecayObjectives = 8
 
 // rateMeter estimates the rate of events from two exponentially decayed counts. The time constant of the fast
--- a/balance/request.go
+++ b/balance/request.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// handleClientCanceled closes the request of a client that has gone.
+// handleClientCanceled closes the request of a client that has disconnected.
 func (b *Balancer) handleClientCanceled(event ClientCanceled) {
 	if r := b.requests[event.Request]; r != nil {
 		b.closeRequest(r)
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -3,8 +3,10 @@
 // Stats holds counts of this sidecar's requests and gossip messages since New, and the current state of the
 // load, for logs.
 type Stats struct {
-	// PastObjective is the number of requests that were rejected on arrival because they were retries by a
-	// client after the latency objective, while BaseShedFraction was at least the LateWeight of the class.
+	// PastObjective is the number of client retries that were rejected on arrival because the latency
+	// objective, counted from the client's first request, had passed while BaseShedFraction was at least the
+	// LateWeight of the class. The timeout of a retry is what is left of the client's deadline, so the time
+	// since the first request is Class.Deadline minus this timeout.
 	PastObjective int
 	// Shed is the number of requests that were rejected on arrival because the load was higher than the fleet
 	// can serve.
@@ -20,9 +22,12 @@
 	// gossip, the present overload raises or lowers the fraction that is really shed.
 	BaseShedFraction float64
 	// Overload measures the overload at the arrival of the latest request, and is above 0 under overload.
-	// Until gossip arrives, Overload is the estimated latency of this sidecar's responses minus the allowed
-	// latency, as a fraction of the latency objective of the request's class. Then Overload is
-	// initialConcurrencyLimit * (load/ConcurrencyLimit - 1), where load is measured like ConcurrencyLimit.
+	// Until the first gossip message arrives, Overload is the estimated latency of this sidecar's responses
+	// minus the allowed latency (see allowedQueueingFraction), as a fraction of the latency objective of the
+	// request's class. After the first gossip message, Overload is initialConcurrencyLimit *
+	// (load/ConcurrencyLimit - 1), in requests in flight per unit of Endpoint.NominalCapacity, with the load
+	// that the comment on ConcurrencyLimit describes. While gossip is lost (no message for gossipTimeout ms),
+	// the same formula applies, but the load is estimated from this sidecar's own requests in flight.
 	Overload float64
 	// BaselineLatency is the lowest mean latency so far of this sidecar's responses and timeouts, as a
 	// fraction of the latency objective of the request's class, and is initialBaseline at first.
