--- a/balance/demand.go
+++ b/balance/demand.go
@@ -50,7 +50,7 @@
 type serviceTally struct {
 	requested  float64 // number of requests that arrived
 	served     float64 // number of requests that were served within their latency objective
-	quotaShare float64 // a tenant's fraction of the service; 0: no quota
+	quotaShare float64 // a tenant's quota, as a fraction of this sidecar's requests; 0: no quota
 }
 
 func newServiceTally() serviceTally { return serviceTally{requested: 1, served: 1} }
@@ -65,7 +65,7 @@
 	samples        float64 // responses that the means are taken over, up to classLatencySamples
 	meanLatency    float64 // ms
 	meanDeviation  float64 // mean absolute deviation from the mean latency, in ms
-	longestTimeout float64 // of clients' first requests, in ms
+	longestTimeout float64 // longest Request.Timeout so far, in ms; retries marked by clients do not count
 	priorityWeight float64
 }
 
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -35,7 +35,7 @@
 // gossipState is what this sidecar has received from its peers. From its own few requests alone, a sidecar
 // would learn too late which endpoints fail and how loaded they are.
 type gossipState struct {
-	peers          map[int]*peer        // by peer index; peers that have sent a valid message
+	peers          map[int]*peer        // peers from which a message was accepted, by Config.PeerIndex
 	lastReceivedAt float64              // time of the last message of any peer, in ms; 0 if there was none
 	refreshAt      float64              // instant at which unchanged requests in flight are sent again, in ms
 	endpointByTag  map[uint16]*endpoint // by gossipTag; nil where endpoints share a tag
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -80,7 +80,10 @@
 			b.emit(Action{Kind: HealthCheck, Endpoint: next.ID})
 		}
 	}
-	if len(r.checkedEndpoints) == 0 { // nothing to wait for, and no result that would end the wait
+	// A request without any checked endpoint is not added to the waiting list: it has no result to wait for,
+	// so its first attempt is not delayed. Requests leave the list only when a health check result arrives;
+	// without any further result, the request would stay on the list forever.
+	if len(r.checkedEndpoints) == 0 {
 		return
 	}
 	r.checkWaitUntil = b.now + maxHealthCheckWait*r.class.LatencyObjective
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -38,9 +38,11 @@
 // exhausted reports whether less than one retry is left.
 func (t *retryBudget) exhausted() bool { return t.tokens < 1 }
 
-// retryExhausted reports whether the request may have no further attempt, or a further attempt would be of no
-// use. An attempt after the latency objective is of no use if the request can safely be rejected and its
-// remaining value is at most the fraction of the load that is shed.
+// retryExhausted reports whether the request gets no further attempt. A limit or the risk of running the
+// request twice can forbid the attempt, or the attempt would be useless: the latency objective has passed,
+// the request can safely be rejected, and the value of a late response (Class.LateWeight) is at most the
+// fraction of the load to shed (baseShedFraction). The attempt would then take capacity from requests that
+// are worth more.
 func (b *Balancer) retryExhausted(r *request) bool {
 	attemptCount := len(r.attempts)
 	if attemptCount >= b.cfg.MaxAttempts || attemptCount > maxRetries {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -185,8 +185,8 @@
 }
 
 // While discovery is down, idle clients use up all file descriptors that the sidecar has for clients, and reconnect as
-// soon as their connections are rejected or closed. The sidecar can still answer health checks, call discovery when it is up again,
-// connect to endpoints and serve requests.
+// soon as their connections are rejected or closed. The sidecar can still answer health checks, call discovery when it
+// is up again, connect to endpoints and serve requests.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	// The test needs two free addresses. Its clients connect from another address, so they do not take these
 	// ports.
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -297,8 +297,8 @@
 	return event, err
 }
 
-// resultOfCode returns the result for a result code. A truncated record causes no error here, because readRecord reports
-// the truncation.
+// resultOfCode returns the result for a result code. A truncated record causes no error here, because readRecord
+// reports the truncation.
 func resultOfCode(code uint16, f *recordReader) (balance.Result, error) {
 	res, known := resultCodes[code]
 	if !known && !f.truncated {
