--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -52,7 +52,7 @@
 	// initialConcurrencyLimit.
 	limitFloorFactor = 1.2
 	// peakServiceDecayTime is the time constant, in ms, with which the recent peak of the load in service
-	// decays: without a new peak the value is multiplied by exp(-elapsed/peakServiceDecayTime). The load in
+	// decays: without a new peak it is multiplied by exp(-elapsed/peakServiceDecayTime). The load in
 	// service is the requests of all sidecars that are in flight, but not queued, per unit of nominal
 	// capacity. The peak determines the floor of the concurrency limit.
 	peakServiceDecayTime = 3e4
--- a/balance/discovery_poll.go
+++ b/balance/discovery_poll.go
@@ -41,8 +41,10 @@
 	// response to a call. Discovery itself gives up a call after 3000 ms.
 	maxWatchTimeout = 3500
 
-	// minAgentBackoff is the shortest span, in ms, from which the random delay of the next call to a local
-	// discovery agent is drawn after a failed call.
+	// minAgentBackoff is the lower bound, in ms, on the span of the delays after a failed call to a local
+	// discovery agent. The delay before the next call is random, from 0 to the span, so it can be shorter
+	// than minAgentBackoff. The span is Config.DrainGrace/agentPollsPerDrainGrace, but at least
+	// minAgentBackoff and at most minPollBackoff; Config.PollInterval/2 limits it further.
 	minAgentBackoff = 20
 
 	// agentPollsPerDrainGrace is the minimum number of calls to a local discovery agent within
--- a/balance/event.go
+++ b/balance/event.go
@@ -198,17 +198,29 @@
 	Latency float64
 }
 
-// ClientCanceled reports that the client of the request with the ID ClientCanceled.Request has disconnected,
-// so that the request needs no response. The balancer cancels the attempts of the request in flight if
-// Config.CancelAttempts allows it.
-type ClientCanceled struct{ Request RequestID }
+// ClientCanceled reports that the client of a request has disconnected, so that the request needs no
+// response. The balancer cancels the attempts of the request in flight if Config.CancelAttempts allows it.
+type ClientCanceled struct {
+	// Request is the ID of the request whose client has disconnected. If the request has ended or is not
+	// known, the event has no effect.
+	Request RequestID
+}
 
-// Shutdown reports that the process ends in Shutdown.Timeout ms. All requests must be answered by then,
-// including requests that arrive after this event.
-type Shutdown struct{ Timeout float64 }
+// Shutdown reports that the process ends soon. All requests must be answered before the end, including
+// requests that arrive after this event.
+type Shutdown struct {
+	// Timeout is the time in ms, from this event, after which the process ends. The balancer limits the
+	// deadlines of all requests to this end; a request whose response has not begun by then gets a rejection
+	// or an error. A negative or NaN value counts as 0.
+	Timeout float64
+}
 
-// Timer reports that a timer is due. Timer.Token is the token of the SetTimer action that set the timer.
-type Timer struct{ Token uint64 }
+// Timer reports that a timer, which the balancer set with a SetTimer action, is due.
+type Timer struct {
+	// Token is the Action.Token of the SetTimer action that set the timer. It tells the balancer what to do
+	// now: take the next step of a request, call discovery, or send gossip.
+	Token uint64
+}
 
 // HealthCheckResult reports the end of a health check that a HealthCheck action started. An endpoint whose
 // health check has any result other than OK is ejected.
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -10,10 +10,10 @@
 	// fraction of the service level: at most healthCheckBudget/Penalties.HealthCheck endpoints are checked.
 	healthCheckBudget = 0.03
 
-	// minHealthCheckCost is a lower bound for Penalties.HealthCheck, the penalty for one health check per
-	// request as a fraction of the service level, where the number of checks is computed. It avoids a
-	// division by zero and, where checks have no penalty, bounds their number to
-	// healthCheckBudget/minHealthCheckCost.
+	// minHealthCheckCost is the value that replaces the penalty Penalties.HealthCheck, if the penalty is
+	// lower, when the number of health checks per request is limited to healthCheckBudget/penalty. The
+	// penalty is a fraction of the service level and may be 0. This lower bound on the penalty avoids a
+	// division by zero and limits the health checks to healthCheckBudget/minHealthCheckCost per request.
 	minHealthCheckCost = 1e-3
 
 	// maxHealthCheckWait is the longest time for which the first attempt of a request waits for the results
@@ -26,7 +26,7 @@
 
 	// maxAllBusyProbability is the highest acceptable probability that all endpoints checked before a
 	// request are busy (have any request in flight). So many endpoints are checked that (fraction of busy
-	// endpoints)^(number of checks) is at most this probability, if healthCheckBudget allows.
+	// endpoints)^(number of checks) is at most maxAllBusyProbability, if healthCheckBudget allows.
 	maxAllBusyProbability = 0.01
 
 	// minBusyFraction is a lower bound for the estimated fraction of endpoints that are busy (have any
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -7,7 +7,8 @@
 	// Config.MaxAttempts is higher. More retries would multiply a load that is already too high.
 	maxRetries = 1
 	// retryBudgetRatio is the number of tokens that each arriving request adds to the retry budget of this
-	// sidecar. A retry takes one token, so in the long run retries are at most this fraction of the requests.
+	// sidecar. A retry takes one token, so in the long run there are at most retryBudgetRatio retries per
+	// request.
 	retryBudgetRatio = 0.2
 	// retryBudgetBurst is the largest number of tokens that the retry budget of this sidecar can hold. A
 	// retry takes one token, so retryBudgetBurst is also the largest number of retries at once.
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -3,10 +3,11 @@
 import "math"
 
 const (
-	// slowStartBudgetFraction determines how fast this sidecar's budget of attempts for a warming-up
-	// endpoint refills: at max(1, slowStartBudgetFraction*Config.OverloadFactor) times the rate of
-	// responses that the sidecar gets from an endpoint of this weight. A warming-up endpoint fails at
-	// Config.OverloadFactor times its capacity.
+	// slowStartBudgetFraction is the fraction of Config.OverloadFactor that determines how fast this
+	// sidecar's budget of attempts for a warming-up endpoint refills: at max(1,
+	// slowStartBudgetFraction*Config.OverloadFactor) times the rate of responses that the sidecar gets from
+	// an endpoint with the same weight in the smooth weighted round robin as the warming-up endpoint. The
+	// fraction is below 1 because a warming-up endpoint fails at Config.OverloadFactor times its capacity.
 	slowStartBudgetFraction = 0.5
 
 	// slowStartBurstFraction is the time over which an unused budget of attempts for a warming-up endpoint
@@ -28,7 +29,7 @@
 	overloadWindow  float64 // ms of such an overload after which a warming-up endpoint fails
 
 	// responsesPerWeight counts each response divided by weightInUse. Its rate times an endpoint's weight is
-	// the rate of responses that this sidecar gets from an endpoint of this weight. responsesPerWeight counts
+	// the rate of responses that this sidecar gets from an endpoint of that weight. responsesPerWeight counts
 	// responses and not requests, because clients retry under overload, which would raise the budget.
 	responsesPerWeight rateMeter
 	weightInUse        float64 // sum of the weights of usable endpoints, without health multipliers
@@ -68,7 +69,7 @@
 
 // hasBudget refills an endpoint's slow-start budget and reports whether it allows another attempt. The budget
 // is a hard limit that holds for retries too. The budget refills at a multiple of the rate of responses that
-// this sidecar gets from an endpoint of this weight. The traffic of dead or unhealthy endpoints does not
+// this sidecar gets from an endpoint of the same weight. The traffic of dead or unhealthy endpoints does not
 // raise the budget. Only few responses are assumed in addition to the counted responses, because the budgets
 // of many sidecars with little traffic would otherwise add up to an overload.
 func (s *slowStart) hasBudget(e *endpoint, now float64) bool {
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -3,23 +3,25 @@
 // Stats holds counts of this sidecar's requests and gossip messages since New, and the current state of the
 // load, for logs.
 type Stats struct {
-	// PastObjective is the number of client retries that were rejected on arrival because the latency
-	// objective, counted from the client's first request, had passed while BaseShedFraction was at least the
-	// LateWeight of the class. The timeout of a retry is what is left of the client's deadline, so the time
-	// since the first request is Class.Deadline minus this timeout.
+	// PastObjective is the number since New of client retries that were rejected on arrival because the
+	// latency objective, counted from the client's first request, had passed while BaseShedFraction was at
+	// least the LateWeight of the class. The timeout of a retry is what is left of the client's deadline, so
+	// the time since the first request is Class.Deadline minus this timeout.
 	PastObjective int
-	// Shed is the number of requests that were rejected on arrival because the load was higher than the fleet
-	// can serve.
+	// Shed is the number since New of requests that were rejected on arrival because, by the balancer's
+	// estimate, the fleet could not serve the whole load within the latency objectives.
 	Shed int
-	// RetriesExhausted is the number of requests that were given up after one or more attempts, at their
-	// deadline or because no further attempt was allowed or of use.
+	// RetriesExhausted is the number since New of requests that were given up after one or more attempts:
+	// because their deadline had passed, because the limits on retries or the risk of running the request
+	// twice forbade another attempt, or because a response would have come too late to be worth its load.
 	RetriesExhausted int
-	// NotSent is the number of requests that were admitted but given up without any attempt, for example
-	// because no endpoint could take them in time.
+	// NotSent is the number since New of requests that were admitted but given up without any attempt, for
+	// example because no endpoint could take them in time.
 	NotSent int
 
-	// BaseShedFraction is the fraction of the load, from 0 to 1, that the balancer sheds. Without recent
-	// gossip, the present overload raises or lowers the fraction that is really shed.
+	// BaseShedFraction is the base value, from 0 to 1, of the fraction of the load that the balancer sheds.
+	// With recent gossip, exactly this fraction is shed. Without recent gossip, the fraction that is shed is
+	// the base value raised or lowered by the present overload.
 	BaseShedFraction float64
 	// Overload measures the overload at the arrival of the latest request, and is above 0 under overload.
 	// Until the first gossip message arrives, Overload is the estimated latency of this sidecar's responses
@@ -43,10 +45,10 @@
 	Ejected int
 	// WarmingUp is the number of listed endpoints that are warming up now.
 	WarmingUp int
-	// GossipReceived is the number of messages from other sidecars that were accepted.
+	// GossipReceived is the number since New of messages from other sidecars that were accepted.
 	GossipReceived int
-	// GossipDropped is the number of messages from other sidecars that were dropped as invalid, old,
-	// duplicate or from an unknown sender.
+	// GossipDropped is the number since New of messages from other sidecars that were dropped as invalid,
+	// old, duplicate or from an unknown sender.
 	GossipDropped int
 }
 
--- a/balance/weight.go
+++ b/balance/weight.go
@@ -8,7 +8,7 @@
 	// factor of the endpoint's weight and is 1 without recent errors.
 	errorHalfLife = 5000
 	// errorPenalty is the amount by which each consecutive error (without a response in between) lowers an
-	// endpoint's health multiplier, down to minHealth at the lowest. The multiplier is a factor of the
+	// endpoint's health multiplier, which never falls below minHealth. The multiplier is a factor of the
 	// endpoint's weight and is 1 without recent errors.
 	errorPenalty = 0.2
 	// minHealth is the lower bound of an endpoint's health multiplier. The multiplier is a factor of the
@@ -59,7 +59,9 @@
 	// The increase is needed because a restarted sidecar has not learned any capacities.
 	initialLearningBoost = 8
 	// initialLearningSamples is the number of responses and errors after which the initial increase of the
-	// learning rate of endpoint capacities, initialLearningBoost, has halved.
+	// learning rate of endpoint capacities has halved. After n responses and errors the increase is
+	// initialLearningBoost/(1+n/initialLearningSamples). All successful responses to this sidecar and all its
+	// errors (failed or overdue attempts) count, over all endpoints except those that warm up.
 	initialLearningSamples = 50
 	// errorLatencyRatio is the latency with which an error (a failed or overdue attempt) counts when the
 	// capacities of endpoints are learned, as a multiple of the mean latency of the request's class.
