--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -44,8 +44,9 @@
 
 // Response is the response to a client's request.
 type Response struct {
-	// Result is balance.OK if the request was served, balance.Rejected if it was certainly not executed, so that the
-	// client can safely retry it, or balance.ServerError if it failed and may have been executed.
+	// Result is balance.OK if the request was served, balance.Rejected if the client can safely retry the request
+	// (because it was not executed, or because its class permits a repetition), or balance.ServerError if the request
+	// failed and may have been executed.
 	Result     balance.Result
 	Upstream   upstream.Response // the endpoint's response, if Result is balance.OK
 	RetryAfter float64           // ms after which the client should retry; 0: no Retry-After
